--- a/savoryport/src/node/callers.rs
+++ b/savoryport/src/node/callers.rs
@@ -16,9 +16,9 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::NodeError;
-use super::answer::Body;
 use super::context::NodeContext;
 use super::relay;
+use super::response::Body;
 
 /// The time for a head before a configuration gives one, and for an idle connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -12,9 +12,9 @@
 use savoryport_core::node::request::Generation;
 use savoryport_core::node::selection::{Candidate, Demanded, Distance, choose};
 
-use super::answer::{Cause, Refusal};
 use super::planner::engine_domains;
 use super::relay::Relay;
+use super::response::{Cause, Refusal};
 use super::rpc::WishReply;
 use super::view::View;
 
--- a/savoryport/src/node/intake.rs
+++ b/savoryport/src/node/intake.rs
@@ -11,9 +11,9 @@
 use savoryport_adapter::callers::{request_head, strip_headers};
 use savoryport_core::node::deployment::{Deployment, Route};
 
-use super::answer::{Cause, Refusal};
 use super::context::NodeContext;
 use super::relay::Relay;
+use super::response::{Cause, Refusal};
 
 impl Relay {
     /// Reads a whole request; what cannot be served by any server is refused here.
--- a/savoryport/src/node/metrics.rs
+++ b/savoryport/src/node/metrics.rs
@@ -10,7 +10,7 @@
 use savoryport_core::node::deployment::Route;
 use savoryport_core::node::orders::OrderAnswer;
 
-use super::answer::Cause;
+use super::response::Cause;
 
 /// Labels of an ended request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -4,7 +4,6 @@
 //! `stream`; `reader`, `sync` and
 //! `duty` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
 
-mod answer;
 mod boards;
 mod callers;
 mod clock;
@@ -25,6 +24,7 @@
 pub mod prompts;
 pub mod reader;
 mod relay;
+mod response;
 pub mod rpc;
 pub mod settings;
 mod status;
--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -17,10 +17,10 @@
 use savoryport_core::node::request::{PrefixKeys, RequestHead};
 use savoryport_platform::connection::{Connection, SendError};
 
-use super::answer::{Body, Cause, Refusal, pass_on};
 use super::context::NodeContext;
 use super::dispatch::Picked;
 use super::flight::Flight;
+use super::response::{Body, Cause, Refusal, pass_on};
 use super::stream;
 
 /// A non-idempotent request uses a kept connection only if it was in use this recently: on one that
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -12,10 +12,10 @@
 use savoryport_core::node::health::ServerOutcome;
 use tokio::sync::mpsc;
 
-use super::answer::{Body, BrokenOff};
 use super::dispatch::Picked;
 use super::events::EventCutter;
 use super::relay::{Opened, Relay};
+use super::response::{Body, BrokenOff};
 
 /// Pieces that wait for a caller who reads slowly.
 const CALLER_BUFFER: usize = 16;
