--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -14,7 +14,7 @@
 
 use super::planner::engine_domains;
 use super::relay::Relay;
-use super::response::{Cause, Refusal};
+use super::response::{Refusal, RefusalCause};
 use super::rpc::WishReply;
 use super::view::View;
 
@@ -85,7 +85,10 @@
     /// Picks a server; waits for an adapter or a model if it will come in time.
     pub(super) async fn pick(&mut self) -> Result<Picked, Refusal> {
         if !self.may_send() {
-            return Err(Refusal::retry(Cause::NotRun, COME_BACK.mul_f64(1.0 + self.cx.draw())));
+            return Err(Refusal::retry(
+                RefusalCause::NotRun,
+                COME_BACK.mul_f64(1.0 + self.cx.draw()),
+            ));
         }
         let mut waited_for_model = false;
         let mut without_place: Vec<Name> = Vec::new();
@@ -107,12 +110,14 @@
                     self.queued_since = self.cx.now();
                     waited_for_model = true;
                 }
-                Look::NoModel => return Err(self.later(Cause::NoModel)),
-                Look::NoServer if self.asks_adapter() => return Err(self.later(Cause::NoAdapter)),
-                Look::NoServer => return Err(self.later(Cause::NoServer)),
+                Look::NoModel => return Err(self.later(RefusalCause::NoModel)),
+                Look::NoServer if self.asks_adapter() => {
+                    return Err(self.later(RefusalCause::NoAdapter));
+                }
+                Look::NoServer => return Err(self.later(RefusalCause::NoServer)),
                 Look::Overload { expected, retry_after } => {
                     self.expected = expected;
-                    return Err(Refusal::retry(Cause::Overload, retry_after));
+                    return Err(Refusal::retry(RefusalCause::Overload, retry_after));
                 }
             }
         }
@@ -130,7 +135,7 @@
         self.asks_adapter() && self.avoided.is_empty() && elapsed < whole.mul_f64(PLACE_SHARE)
     }
 
-    fn later(&self, cause: Cause) -> Refusal {
+    fn later(&self, cause: RefusalCause) -> Refusal {
         Refusal::retry(cause, retry_after(COME_BACK, self.cx.draw()))
     }
 
@@ -274,18 +279,21 @@
     async fn await_model(&self) -> Result<(), Refusal> {
         let Some(asked) = &self.head.generation else { return Ok(()) };
         let Some(expected) = self.wish_for_model(&asked.model).await else {
-            return Err(self.later(Cause::NoModel));
+            return Err(self.later(RefusalCause::NoModel));
         };
         let is_on_time = self.cx.now() - self.arrived + expected < self.route.target;
         if !is_on_time && expected > self.left().mul_f64(LOAD_SHARE) {
-            return Err(Refusal::retry(Cause::NoModel, retry_after(expected, self.cx.draw())));
+            return Err(Refusal::retry(
+                RefusalCause::NoModel,
+                retry_after(expected, self.cx.draw()),
+            ));
         }
         let mut views = self.cx.fleet.subscribe();
         let held = views.wait_for(|view| self.ready(view).any(|server| server.holds(&asked.model)));
         let within = (expected + LOAD_GRACE).min(self.left());
         match tokio::time::timeout(within, held).await {
             Ok(Ok(_)) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(self.later(Cause::NoModel)),
+            Ok(Err(_)) | Err(_) => Err(self.later(RefusalCause::NoModel)),
         }
     }
 
--- a/savoryport/src/node/intake.rs
+++ b/savoryport/src/node/intake.rs
@@ -13,7 +13,7 @@
 
 use super::context::NodeContext;
 use super::relay::Relay;
-use super::response::{Cause, Refusal};
+use super::response::{Refusal, RefusalCause};
 
 impl Relay {
     /// Reads a whole request; what cannot be served by any server is refused here.
@@ -24,16 +24,17 @@
     ) -> Result<Self, Refusal> {
         let view = cx.fleet.view();
         let wait = Duration::from_millis(cx.settings.store_poll_ms);
-        let deployment = view.deployment().cloned().ok_or(Refusal::retry(Cause::NoConfig, wait))?;
+        let deployment =
+            view.deployment().cloned().ok_or(Refusal::retry(RefusalCause::NoConfig, wait))?;
         let (parts, body) = req.into_parts();
         let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
         let route = find_route(&deployment, host, parts.uri.path())?.clone();
         let head = request_head(&parts.headers).map_err(|err| {
             log::debug!(err:% = err; "head refused");
-            Refusal::of(Cause::BadHead)
+            Refusal::of(RefusalCause::BadHead)
         })?;
         let service = route.choose_service(cx.draw_u64()).cloned();
-        let service = service.ok_or(Refusal::of(Cause::NoRoute))?;
+        let service = service.ok_or(Refusal::of(RefusalCause::NoRoute))?;
         let deadline = head.deadline.unwrap_or(route.timeout);
         let ends = arrived + deadline.min(route.timeout);
         let body = read_body(body, &deployment, ends.saturating_duration_since(cx.now())).await?;
@@ -78,7 +79,7 @@
     deployment
         .route(host, path)
         .or_else(|| deployment.route(bare, path))
-        .ok_or(Refusal::of(Cause::NoRoute))
+        .ok_or(Refusal::of(RefusalCause::NoRoute))
 }
 
 async fn read_body(
@@ -89,7 +90,7 @@
     let limited = Limited::new(body, deployment.limits.body_bytes);
     match tokio::time::timeout(within, limited.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
-        Ok(Err(err)) if err.is::<LengthLimitError>() => Err(Refusal::of(Cause::BodyTooLong)),
-        Ok(Err(_)) | Err(_) => Err(Refusal::of(Cause::BodyMissing)),
+        Ok(Err(err)) if err.is::<LengthLimitError>() => Err(Refusal::of(RefusalCause::BodyTooLong)),
+        Ok(Err(_)) | Err(_) => Err(Refusal::of(RefusalCause::BodyMissing)),
     }
 }
--- a/savoryport/src/node/metrics.rs
+++ b/savoryport/src/node/metrics.rs
@@ -10,7 +10,7 @@
 use savoryport_core::node::deployment::Route;
 use savoryport_core::node::orders::OrderAnswer;
 
-use super::response::Cause;
+use super::response::RefusalCause;
 
 /// Labels of an ended request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -100,7 +100,7 @@
     }
 
     /// Counts a request without an answer of a server.
-    pub fn note_refusal(&self, cause: Cause) {
+    pub fn note_refusal(&self, cause: RefusalCause) {
         self.refusals.get_or_create(&CauseLabels { cause: cause.name() }).inc();
     }
 
--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -20,7 +20,7 @@
 use super::context::NodeContext;
 use super::dispatch::Picked;
 use super::flight::Flight;
-use super::response::{Body, Cause, Refusal, pass_on};
+use super::response::{Body, Refusal, RefusalCause, pass_on};
 use super::stream;
 
 /// A non-idempotent request uses a kept connection only if it was in use this recently: on one that
@@ -154,24 +154,24 @@
         sent < self.route.max_attempts && boards.budget.take(&self.service)
     }
 
-    fn obstacle_to_retry(&self) -> Option<Cause> {
+    fn obstacle_to_retry(&self) -> Option<RefusalCause> {
         if self.left().is_zero() {
-            return Some(Cause::TimedOut);
+            return Some(RefusalCause::TimedOut);
         }
         if self.in_doubt && !self.route.kind.is_repeatable() {
-            return Some(Cause::Broken);
+            return Some(RefusalCause::Broken);
         }
         let exhausted = self.tried.len() as u32 >= self.route.max_attempts
             || self.unreachable >= MAX_UNREACHABLE;
-        exhausted.then_some(if self.in_doubt { Cause::Broken } else { Cause::NotRun })
+        exhausted.then_some(if self.in_doubt { RefusalCause::Broken } else { RefusalCause::NotRun })
     }
 
     /// Returns the refusal for a cause; a request that may have run is never said not to have.
-    fn refusal(&self, cause: Cause) -> Refusal {
+    fn refusal(&self, cause: RefusalCause) -> Refusal {
         /// A caller that no server had room for may come back after this time.
         const COME_BACK: Duration = Duration::from_millis(250);
         let cause = match cause {
-            cause if self.in_doubt && promises_not_run(cause.status()) => Cause::Broken,
+            cause if self.in_doubt && promises_not_run(cause.status()) => RefusalCause::Broken,
             cause => cause,
         };
         if promises_not_run(cause.status()) {
--- a/savoryport/src/node/response.rs
+++ b/savoryport/src/node/response.rs
@@ -21,7 +21,7 @@
 
 /// Why a request gets no answer of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Cause {
+pub enum RefusalCause {
     /// No configuration is known yet.
     NoConfig,
     /// No route fits.
@@ -48,7 +48,7 @@
     TimedOut,
 }
 
-impl Cause {
+impl RefusalCause {
     /// Returns the word used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
@@ -91,19 +91,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     /// Why.
-    pub cause: Cause,
+    pub cause: RefusalCause,
     /// When the caller may come back.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
     /// Makes a refusal without a time to come back.
-    pub fn of(cause: Cause) -> Self {
+    pub fn of(cause: RefusalCause) -> Self {
         Self { cause, retry_after: None }
     }
 
     /// Makes a refusal with a time to come back.
-    pub fn retry(cause: Cause, after: Duration) -> Self {
+    pub fn retry(cause: RefusalCause, after: Duration) -> Self {
         Self { cause, retry_after: Some(after) }
     }
 
