--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -11,13 +11,13 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::boards::SharedBoards;
 use super::desk::Desks;
 use super::fleet::Fleet;
 use super::hub::Hub;
 use super::metrics::NodeMetrics;
 use super::peers::Peers;
 use super::reader::StoreContact;
+use super::routing_state::SharedRoutingState;
 use super::rpc::CopyUse;
 use super::settings::NodeSettings;
 use super::view::Member;
@@ -39,7 +39,7 @@
     /// Beliefs about the fleet.
     pub fleet: Fleet,
     /// What is counted while requests run.
-    pub boards: SharedBoards,
+    pub routing: SharedRoutingState,
     /// What other nodes told this one.
     pub hub: Hub,
     /// When the store was last heard.
@@ -73,7 +73,7 @@
     /// Returns the copies at servers of a failure domain that this domain's requests use.
     pub fn copies_in_domain(&self, domain: &str) -> Vec<CopyUse> {
         let view = self.fleet.view();
-        let mut uses = self.boards.lock().copies_in_use();
+        let mut uses = self.routing.lock().copies_in_use();
         uses.extend(self.hub.follower_copies());
         uses.retain(|usage| {
             let server = view.servers.get(&usage.server);
--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -67,19 +67,19 @@
         let Some(asked) = &self.head.generation else { return };
         let view = self.cx.fleet.view();
         let candidates = self.candidates(&view);
-        let mut boards = self.cx.boards.lock();
+        let mut routing = self.cx.routing.lock();
         let demanded = self.demanded();
         let prefill = choose(
             candidates.iter().map(|(candidate, _)| *candidate),
             &demanded,
-            &boards.selection(self.arrived),
+            &routing.selection(self.arrived),
         )
         .map_or_else(
-            || boards.speeds.prefill_ms(&asked.model, asked.prompt_tokens),
+            || routing.speeds.prefill_ms(&asked.model, asked.prompt_tokens),
             |choice| f64::from(choice.prefill_ms),
         );
         let work = prefill + MS_PER_OUTPUT_TOKEN * f64::from(asked.output_tokens);
-        *boards.work_ms.entry(asked.model.clone()).or_default() += work;
+        *routing.work_ms.entry(asked.model.clone()).or_default() += work;
     }
 
     /// Picks a server; waits for an adapter or a model if it will come in time.
@@ -157,7 +157,7 @@
     /// Returns whether another server would take the request now. Without one, leaving a server that is
     /// slow or silent only ends the request.
     pub(super) fn has_alternative(&self) -> bool {
-        let has_repeat = self.cx.boards.lock().budget.has_repeat(&self.service);
+        let has_repeat = self.cx.routing.lock().budget.has_repeat(&self.service);
         has_repeat && matches!(self.look(&[]), Look::Picked(..))
     }
 
@@ -177,8 +177,8 @@
             };
         }
         let now = self.cx.now();
-        let boards = self.cx.boards.lock();
-        let selection = boards.selection(now);
+        let routing = self.cx.routing.lock();
+        let selection = routing.selection(now);
         let demanded = self.demanded();
         let options = candidates.iter().map(|(candidate, _)| *candidate);
         let Some(choice) = choose(options, &demanded, &selection) else { return Look::NoServer };
@@ -224,8 +224,8 @@
         let share = (limit / nodes).max(1);
         let adapter_places = self.engine_class().map_or(0, |class| class.adapter_places);
         let (copy, now) = (self.copy_name(), self.cx.now());
-        let boards = self.cx.boards.lock();
-        let (own, health) = (boards.loads.own(), &boards.health);
+        let routing = self.cx.routing.lock();
+        let (own, health) = (routing.loads.own(), &routing.health);
         let is_denied = |server: &BackendServer| {
             copy.as_ref()
                 .is_some_and(|copy| health.is_denied(&server.id, copy, server.incarnation, now))
--- a/savoryport/src/node/flight.rs
+++ b/savoryport/src/node/flight.rs
@@ -5,10 +5,10 @@
 
 use savoryport_core::Name;
 
-use super::boards::CopyKey;
 use super::context::NodeContext;
 use super::dispatch::Picked;
 use super::relay::Relay;
+use super::routing_state::CopyKey;
 use super::rpc::PromptRecord;
 
 /// Counts a request at its server until it is dropped.
@@ -35,10 +35,10 @@
         let copy =
             asked.map(|asked| (server.id.clone(), asked.model.clone(), asked.adapter.clone()));
         let cache_tokens = relay.engine_class().map(|class| class.cache_tokens);
-        let mut boards = cx.boards.lock();
-        boards.loads.begin(&server.id, relay.route.rank, picked.prefill_ms);
+        let mut routing = cx.routing.lock();
+        routing.loads.begin(&server.id, relay.route.rank, picked.prefill_ms);
         if let Some(key) = &copy {
-            *boards.copies.entry(key.clone()).or_default() += 1;
+            *routing.copies.entry(key.clone()).or_default() += 1;
         }
         if let Some(cache_tokens) = cache_tokens.filter(|_| !relay.keys.is_empty()) {
             let record = PromptRecord {
@@ -46,9 +46,9 @@
                 incarnation: server.incarnation,
                 keys: relay.keys.clone(),
             };
-            boards.record_prompt(record, cache_tokens, now);
+            routing.record_prompt(record, cache_tokens, now);
         }
-        drop(boards);
+        drop(routing);
         Self {
             server: server.id.clone(),
             rank: relay.route.rank,
@@ -78,28 +78,28 @@
             return;
         }
         let took = self.cx.now() - self.sent_at;
-        let mut boards = self.cx.boards.lock();
-        boards.loads.first_token(&self.server, self.rank, self.prefill_ms);
+        let mut routing = self.cx.routing.lock();
+        routing.loads.first_token(&self.server, self.rank, self.prefill_ms);
         if let Some(model) = &self.model {
             let expected_ms = self.expected.as_secs_f64() * 1e3;
-            boards.speeds.note_first_token(&self.server, model, expected_ms, took);
+            routing.speeds.note_first_token(&self.server, model, expected_ms, took);
         }
     }
 }
 
 impl Drop for Flight {
     fn drop(&mut self) {
-        let mut boards = self.cx.boards.lock();
+        let mut routing = self.cx.routing.lock();
         if !self.has_first_token {
-            boards.loads.first_token(&self.server, self.rank, self.prefill_ms);
+            routing.loads.first_token(&self.server, self.rank, self.prefill_ms);
         }
-        boards.loads.end(&self.server);
+        routing.loads.end(&self.server);
         if let Some(key) = &self.copy
-            && let Some(requests) = boards.copies.get_mut(key)
+            && let Some(requests) = routing.copies.get_mut(key)
         {
             *requests -= 1;
             if *requests == 0 {
-                boards.copies.remove(key);
+                routing.copies.remove(key);
             }
         }
     }
--- a/savoryport/src/node/hub.rs
+++ b/savoryport/src/node/hub.rs
@@ -191,7 +191,7 @@
                 cx.hub.loads_but(None, false, now)
             }
         };
-        add_loads(&mut loads, cx.boards.lock().loads.own());
+        add_loads(&mut loads, cx.routing.lock().loads.own());
         let (prompt_count, prompts) = match req.role {
             Role::Follower => cx.hub.lock().prompts.since(req.have.prompts, &req.member.vm),
             Role::Holder if req.have.tenure == cx.tenure => {
@@ -244,14 +244,14 @@
 pub fn note_prompts(cx: &NodeContext, prompts: &[PromptRecord], now: Instant) {
     let view = cx.fleet.view();
     let Some(deployment) = view.deployment() else { return };
-    let mut boards = cx.boards.lock();
+    let mut routing = cx.routing.lock();
     for PromptRecord { server, incarnation, keys } in prompts {
         let service = view
             .servers
             .get(server)
             .and_then(|known| deployment.services.get(&known.service)?.engine.as_ref());
         if let Some(class) = service {
-            boards.prefixes.record(server, *incarnation, keys, class.cache_tokens, now);
+            routing.prefixes.record(server, *incarnation, keys, class.cache_tokens, now);
         }
     }
 }
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -4,7 +4,6 @@
 //! `stream`; `reader`, `sync` and
 //! `duty` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
 
-mod boards;
 mod callers;
 mod clock;
 mod context;
@@ -25,6 +24,7 @@
 pub mod reader;
 mod relay;
 mod response;
+mod routing_state;
 pub mod rpc;
 pub mod settings;
 mod status;
@@ -50,7 +50,6 @@
 use tokio_util::task::TaskTracker;
 use xxhash_rust::xxh3::xxh3_64;
 
-use self::boards::SharedBoards;
 use self::clock::BootClock;
 use self::context::NodeContext;
 use self::desk::Desks;
@@ -59,6 +58,7 @@
 use self::metrics::NodeMetrics;
 use self::peers::Peers;
 use self::reader::StoreContact;
+use self::routing_state::SharedRoutingState;
 use self::settings::NodeSettings;
 use self::view::Member;
 
@@ -156,7 +156,7 @@
         pool: Pool::default(),
         order_pool: Pool::default(),
         fleet: Fleet::new(member.clone()),
-        boards: SharedBoards::new(bound, ASSUMED_NODES, settings.selection_costs()),
+        routing: SharedRoutingState::new(bound, ASSUMED_NODES, settings.selection_costs()),
         hub: Hub::default(),
         store_contact: StoreContact::default(),
         tenure: tenure.max(1),
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -70,7 +70,7 @@
     for engine in engines.values() {
         engine.ledger().clear_uses();
     }
-    let own = cx.boards.lock().copies_in_use();
+    let own = cx.routing.lock().copies_in_use();
     for usage in cx.hub.copies_in_use().into_iter().chain(own) {
         if let Some(engine) = engines.get(&usage.server) {
             let mut ledger = engine.ledger();
--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -146,12 +146,12 @@
     /// Returns whether the request may be sent to one more server, and takes it from the budget.
     pub(super) fn may_send(&self) -> bool {
         let sent = self.tried.len() as u32;
-        let mut boards = self.cx.boards.lock();
+        let mut routing = self.cx.routing.lock();
         if sent == 0 {
-            boards.budget.earn(&self.service);
+            routing.budget.earn(&self.service);
             return true;
         }
-        sent < self.route.max_attempts && boards.budget.take(&self.service)
+        sent < self.route.max_attempts && routing.budget.take(&self.service)
     }
 
     fn obstacle_to_retry(&self) -> Option<RefusalCause> {
@@ -264,7 +264,7 @@
                 let (parts, body) = answer.into_parts();
                 let kind = answer_kind(parts.status, &parts.headers, &self.head.id);
                 let (status, headers) = (parts.status, parts.headers);
-                self.cx.boards.lock().health.heard(&server.id, self.cx.now());
+                self.cx.routing.lock().health.heard(&server.id, self.cx.now());
                 let first = match first {
                     First::Data(data) => Some(data),
                     First::None | First::Broken => None,
@@ -342,7 +342,7 @@
             if let Ok(answer) = tokio::time::timeout(stall, answer.as_mut()).await {
                 return Some(answer);
             }
-            let heard = self.cx.boards.lock().health.was_heard_since(&picked.server.id, sent_at);
+            let heard = self.cx.routing.lock().health.was_heard_since(&picked.server.id, sent_at);
             if !heard && self.has_alternative() {
                 return None;
             }
@@ -384,13 +384,13 @@
     /// Notes that the last server sent something.
     pub(super) fn note_heard(&self) {
         if let Some(server) = &self.last_server {
-            self.cx.boards.lock().health.heard(server, self.cx.now());
+            self.cx.routing.lock().health.heard(server, self.cx.now());
         }
     }
 
     pub(super) fn note(&self, server: &Name, outcome: ServerOutcome) {
         let now = self.cx.now();
-        self.cx.boards.lock().health.note(server, outcome, now);
+        self.cx.routing.lock().health.note(server, outcome, now);
     }
 }
 
--- a/savoryport/src/node/boards.rs
+++ b/savoryport/src/node/routing_state.rs
@@ -21,7 +21,7 @@
 
 /// The boards of a node.
 #[derive(Debug)]
-pub struct Boards {
+pub struct RoutingState {
     /// What runs where.
     pub loads: LoadBoard,
     /// Which prefixes are cached where.
@@ -41,14 +41,14 @@
     costs: SelectionCosts,
 }
 
-/// Boards shared by the tasks of a node.
+/// RoutingState shared by the tasks of a node.
 #[derive(Debug)]
-pub struct SharedBoards(Mutex<Boards>);
+pub struct SharedRoutingState(Mutex<RoutingState>);
 
-impl SharedBoards {
+impl SharedRoutingState {
     /// Starts with empty boards.
     pub fn new(bound: RetryBound, nodes: usize, costs: SelectionCosts) -> Self {
-        Self(Mutex::new(Boards {
+        Self(Mutex::new(RoutingState {
             loads: LoadBoard::default(),
             prefixes: PrefixMap::default(),
             health: HealthBoard::default(),
@@ -62,12 +62,12 @@
     }
 
     /// Locks the boards for a moment.
-    pub fn lock(&self) -> MutexGuard<'_, Boards> {
+    pub fn lock(&self) -> MutexGuard<'_, RoutingState> {
         self.0.lock().expect("no holder panics")
     }
 }
 
-impl Boards {
+impl RoutingState {
     /// Returns what a choice needs.
     pub fn selection(&self, now: Instant) -> SelectionContext<'_> {
         SelectionContext {
--- a/savoryport/src/node/status.rs
+++ b/savoryport/src/node/status.rs
@@ -8,7 +8,7 @@
 /// Returns the node's beliefs: the configuration, members, duties, servers and orders under way.
 pub fn status(cx: &NodeContext) -> Value {
     let view = cx.fleet.view();
-    let boards = cx.boards.lock();
+    let routing = cx.routing.lock();
     let servers: Vec<Value> = view
         .servers
         .values()
@@ -18,18 +18,18 @@
                 .iter()
                 .map(|model| format!("{} ({} adapters)", model.name, model.adapters.len()))
                 .collect();
-            let load = boards.loads.total(&server.id);
+            let load = routing.loads.total(&server.id);
             json!({
                 "server": server.id, "service": server.service,
                 "failure_domain": server.failure_domain, "ready": server.is_ready(),
                 "models": models, "requests": load.running,
                 "prefill_ms": load.prefill_ms.iter().sum::<f32>(),
-                "failure_rate": boards.health.failure_rate(&server.id),
-                "slowness": boards.speeds.slowness(&server.id),
+                "failure_rate": routing.health.failure_rate(&server.id),
+                "slowness": routing.speeds.slowness(&server.id),
             })
         })
         .collect();
-    drop(boards);
+    drop(routing);
     let members: Vec<&str> = view.members.iter().map(|member| &*member.vm).collect();
     json!({
         "vm": cx.settings.vm,
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -54,7 +54,7 @@
         if cx.now() - tidied >= TIDY_PERIOD {
             tidied = cx.now();
             let view = cx.fleet.view();
-            cx.boards.lock().retain(|server| view.servers.contains_key(server));
+            cx.routing.lock().retain(|server| view.servers.contains_key(server));
         }
         read_store.send_if_modified(|reads| std::mem::replace(reads, must_read) != must_read);
         tokio::time::sleep(period).await;
@@ -110,17 +110,17 @@
 }
 
 fn request(cx: &NodeContext, following: &Following) -> SyncRequest {
-    let mut boards = cx.boards.lock();
+    let mut routing = cx.routing.lock();
     SyncRequest {
         member: cx.member.clone(),
         role: Role::Follower,
         is_leaving: cx.stopping.is_cancelled(),
         have: Position { config: cx.fleet.view().version(), ..following.have },
-        loads: boards.loads.own().iter().map(|(server, load)| (server.clone(), *load)).collect(),
-        work_ms: boards.work_ms.drain().collect(),
+        loads: routing.loads.own().iter().map(|(server, load)| (server.clone(), *load)).collect(),
+        work_ms: routing.work_ms.drain().collect(),
         demand: Vec::new(),
-        copies: boards.copies_in_use(),
-        prompts: std::mem::take(&mut boards.prompts),
+        copies: routing.copies_in_use(),
+        prompts: std::mem::take(&mut routing.prompts),
     }
 }
 
@@ -133,7 +133,7 @@
     let now = cx.now();
     // A node that does not hear the store, or has just started, may know less than this one.
     let takes_servers = takes_servers && reply.is_holder;
-    cx.boards.lock().loads.set_others(reply.loads.iter().cloned().collect());
+    cx.routing.lock().loads.set_others(reply.loads.iter().cloned().collect());
     note_prompts(cx, &reply.prompts, now);
     cx.fleet.update(|state| {
         if takes_servers {
@@ -155,7 +155,7 @@
         following.have.tenure = 0;
     }
     let nodes = cx.fleet.view().members.len();
-    cx.boards.lock().budget.set_nodes(nodes);
+    cx.routing.lock().budget.set_nodes(nodes);
     !reply.is_holder
 }
 
@@ -163,16 +163,16 @@
 fn publish_own(cx: &NodeContext) {
     let now = cx.now();
     let (work_ms, prompts) = {
-        let mut boards = cx.boards.lock();
-        let work_ms: Vec<(Name, f64)> = boards.work_ms.drain().collect();
-        (work_ms, std::mem::take(&mut boards.prompts))
+        let mut routing = cx.routing.lock();
+        let work_ms: Vec<(Name, f64)> = routing.work_ms.drain().collect();
+        (work_ms, std::mem::take(&mut routing.prompts))
     };
     cx.hub.note_own(&cx.settings.vm, &work_ms, &prompts, now);
     let others = cx.hub.loads_but(None, true, now);
     let nodes = cx.fleet.view().members.len();
-    let mut boards = cx.boards.lock();
-    boards.loads.set_others(others);
-    boards.budget.set_nodes(nodes);
+    let mut routing = cx.routing.lock();
+    routing.loads.set_others(others);
+    routing.budget.set_nodes(nodes);
 }
 
 /// Exchanges sums and news with the holders of other failure domains while this node is a holder.
@@ -241,7 +241,7 @@
 ) -> Option<Position> {
     let now = cx.now();
     let mut loads: HashMap<Name, ServerLoad> = cx.hub.loads_but(None, false, now);
-    add_loads(&mut loads, cx.boards.lock().loads.own());
+    add_loads(&mut loads, cx.routing.lock().loads.own());
     let req = SyncRequest {
         member: cx.member.clone(),
         role: Role::Holder,
--- a/savoryport/src/node/verdict.rs
+++ b/savoryport/src/node/verdict.rs
@@ -29,7 +29,7 @@
                 self.note(&picked.server.id, ServerOutcome::Answered);
                 let took = self.cx.now() - flight.sent_at();
                 let server = &picked.server.id;
-                self.cx.boards.lock().speeds.note_service(server, &self.service, took);
+                self.cx.routing.lock().speeds.note_service(server, &self.service, took);
                 self.cx.pool.keep(connection, keep_alive(&headers));
                 strip_connection_headers(&mut headers);
                 self.log_end("answered", status.as_u16(), None);
@@ -60,13 +60,13 @@
 
     fn learn_from_refusal(&self, status: StatusCode, picked: &Picked) {
         let (server, now) = (&picked.server, self.cx.now());
-        let mut boards = self.cx.boards.lock();
+        let mut routing = self.cx.routing.lock();
         match (status, self.copy_name()) {
             (StatusCode::MISDIRECTED_REQUEST, Some(copy)) => {
-                boards.health.note_denial(&server.id, copy, server.incarnation, now);
+                routing.health.note_denial(&server.id, copy, server.incarnation, now);
             }
             (StatusCode::SERVICE_UNAVAILABLE, _) => {
-                boards.health.note_full(&server.id, self.route.rank, now);
+                routing.health.note_full(&server.id, self.route.rank, now);
             }
             _ => {}
         }
