--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -148,10 +148,10 @@
         let sent = self.tried.len() as u32;
         let mut routing = self.cx.routing.lock();
         if sent == 0 {
-            routing.budget.earn(&self.service);
+            routing.retry_budget.earn(&self.service);
             return true;
         }
-        sent < self.route.max_attempts && routing.budget.take(&self.service)
+        sent < self.route.max_attempts && routing.retry_budget.take(&self.service)
     }
 
     fn obstacle_to_retry(&self) -> Option<RefusalCause> {
--- a/savoryport/src/node/routing_state.rs
+++ b/savoryport/src/node/routing_state.rs
@@ -31,13 +31,13 @@
     /// How fast models and servers are.
     pub speeds: Speeds,
     /// Repeats that are left.
-    pub budget: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// Requests under way by copy.
     pub copies: HashMap<CopyKey, u32>,
     /// Work by model since the last sync, in milliseconds.
     pub work_ms: HashMap<Name, f64>,
     /// Prompts sent since the last sync.
-    pub prompts: Vec<PromptRecord>,
+    pub new_prompts: Vec<PromptRecord>,
     costs: SelectionCosts,
 }
 
@@ -53,10 +53,10 @@
             prefixes: PrefixMap::default(),
             health: HealthBoard::default(),
             speeds: Speeds::default(),
-            budget: RetryBudget::new(bound, nodes),
+            retry_budget: RetryBudget::new(bound, nodes),
             copies: HashMap::new(),
             work_ms: HashMap::new(),
-            prompts: Vec::new(),
+            new_prompts: Vec::new(),
             costs,
         }))
     }
@@ -84,8 +84,8 @@
     pub fn record_prompt(&mut self, record: PromptRecord, cache_tokens: u64, now: Instant) {
         let PromptRecord { server, incarnation, keys } = &record;
         self.prefixes.record(server, *incarnation, keys, cache_tokens, now);
-        if self.prompts.len() < MAX_PROMPTS {
-            self.prompts.push(record);
+        if self.new_prompts.len() < MAX_PROMPTS {
+            self.new_prompts.push(record);
         }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Forgets the servers that `keep` rejects.
-    pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
+    pub fn retain_servers(&mut self, keep: impl Fn(&str) -> bool) {
         self.prefixes.retain(&keep);
         self.health.retain(&keep);
         self.speeds.retain(&keep);
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -54,7 +54,7 @@
         if cx.now() - tidied >= TIDY_PERIOD {
             tidied = cx.now();
             let view = cx.fleet.view();
-            cx.routing.lock().retain(|server| view.servers.contains_key(server));
+            cx.routing.lock().retain_servers(|server| view.servers.contains_key(server));
         }
         read_store.send_if_modified(|reads| std::mem::replace(reads, must_read) != must_read);
         tokio::time::sleep(period).await;
@@ -120,7 +120,7 @@
         work_ms: routing.work_ms.drain().collect(),
         demand: Vec::new(),
         copies: routing.copies_in_use(),
-        prompts: std::mem::take(&mut routing.prompts),
+        prompts: std::mem::take(&mut routing.new_prompts),
     }
 }
 
@@ -155,7 +155,7 @@
         following.have.tenure = 0;
     }
     let nodes = cx.fleet.view().members.len();
-    cx.routing.lock().budget.set_nodes(nodes);
+    cx.routing.lock().retry_budget.set_nodes(nodes);
     !reply.is_holder
 }
 
@@ -165,14 +165,14 @@
     let (work_ms, prompts) = {
         let mut routing = cx.routing.lock();
         let work_ms: Vec<(Name, f64)> = routing.work_ms.drain().collect();
-        (work_ms, std::mem::take(&mut routing.prompts))
+        (work_ms, std::mem::take(&mut routing.new_prompts))
     };
     cx.hub.note_own(&cx.settings.vm, &work_ms, &prompts, now);
     let others = cx.hub.loads_but(None, true, now);
     let nodes = cx.fleet.view().members.len();
     let mut routing = cx.routing.lock();
     routing.loads.set_others(others);
-    routing.budget.set_nodes(nodes);
+    routing.retry_budget.set_nodes(nodes);
 }
 
 /// Exchanges sums and news with the holders of other failure domains while this node is a holder.
