--- a/savoryport/src/node/callers.rs
+++ b/savoryport/src/node/callers.rs
@@ -51,7 +51,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = cx.closing.cancelled() => return,
+            () = cx.connection_shutdown.cancelled() => return,
         };
         let stream = match accepted {
             Ok((stream, _)) if open.load(Ordering::Relaxed) < most => stream,
@@ -64,7 +64,7 @@
         };
         open.fetch_add(1, Ordering::Relaxed);
         let (cx, open) = (cx.clone(), open.clone());
-        let serving = cx.serving.clone();
+        let serving = cx.caller_tasks.clone();
         serving.spawn(async move {
             serve(&cx, stream).await;
             open.fetch_sub(1, Ordering::Relaxed);
@@ -88,7 +88,7 @@
     let mut connection = pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = cx.closing.cancelled() => {
+        () = cx.connection_shutdown.cancelled() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -33,7 +33,7 @@
     /// The platform's store.
     pub store: Store,
     /// Connections to backend servers, for requests.
-    pub pool: Pool,
+    pub request_pool: Pool,
     /// Connections to model engines, for orders and reports.
     pub order_pool: Pool,
     /// Beliefs about the fleet.
@@ -57,9 +57,9 @@
     /// Cancelled when the node is asked to stop.
     pub stopping: CancellationToken,
     /// Cancelled when connections of callers are to close after their present request.
-    pub closing: CancellationToken,
+    pub connection_shutdown: CancellationToken,
     /// Tasks that serve callers.
-    pub serving: TaskTracker,
+    pub caller_tasks: TaskTracker,
     /// Random numbers, seeded from the VM's name and the time of the start.
     pub rng: Mutex<SmallRng>,
 }
@@ -83,12 +83,12 @@
     }
 
     /// Returns a uniform number in 0..1.
-    pub fn draw(&self) -> f64 {
+    pub fn random_unit(&self) -> f64 {
         self.rng.lock().expect("no holder panics").random()
     }
 
     /// Returns a uniform number below 2^64.
-    pub fn draw_u64(&self) -> u64 {
+    pub fn random_u64(&self) -> u64 {
         self.rng.lock().expect("no holder panics").next_u64()
     }
 }
--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -87,7 +87,7 @@
         if !self.may_send() {
             return Err(Refusal::retry(
                 RefusalCause::NotRun,
-                COME_BACK.mul_f64(1.0 + self.cx.draw()),
+                COME_BACK.mul_f64(1.0 + self.cx.random_unit()),
             ));
         }
         let mut waited_for_model = false;
@@ -136,7 +136,7 @@
     }
 
     fn later(&self, cause: RefusalCause) -> Refusal {
-        Refusal::retry(cause, retry_after(COME_BACK, self.cx.draw()))
+        Refusal::retry(cause, retry_after(COME_BACK, self.cx.random_unit()))
     }
 
     fn demanded(&self) -> Demanded<'_> {
@@ -192,7 +192,7 @@
             target: self.route.target,
             left: self.left(),
         };
-        let priority = match judge(&prospect, self.cx.draw()) {
+        let priority = match judge(&prospect, self.cx.random_unit()) {
             Verdict::Serve { priority } => priority,
             Verdict::Refuse { retry_after } => {
                 return Look::Overload { expected: choice.expected, retry_after };
@@ -285,7 +285,7 @@
         if !is_on_time && expected > self.left().mul_f64(LOAD_SHARE) {
             return Err(Refusal::retry(
                 RefusalCause::NoModel,
-                retry_after(expected, self.cx.draw()),
+                retry_after(expected, self.cx.random_unit()),
             ));
         }
         let mut views = self.cx.fleet.subscribe();
--- a/savoryport/src/node/duty.rs
+++ b/savoryport/src/node/duty.rs
@@ -51,7 +51,7 @@
         }
         for domain in vacancies.open(&cx) {
             let handicap = HANDICAP.div_f64(cx.settings.cpu_share.max(MIN_CPU_SHARE));
-            tokio::time::sleep(handicap + TRY_SPREAD.mul_f64(cx.draw())).await;
+            tokio::time::sleep(handicap + TRY_SPREAD.mul_f64(cx.random_unit())).await;
             if cx.fleet.read(|state| state.holder(&domain).is_some()) {
                 continue;
             }
--- a/savoryport/src/node/intake.rs
+++ b/savoryport/src/node/intake.rs
@@ -33,7 +33,7 @@
             log::debug!(err:% = err; "head refused");
             Refusal::of(RefusalCause::BadHead)
         })?;
-        let service = route.choose_service(cx.draw_u64()).cloned();
+        let service = route.choose_service(cx.random_u64()).cloned();
         let service = service.ok_or(Refusal::of(RefusalCause::NoRoute))?;
         let deadline = head.deadline.unwrap_or(route.timeout);
         let ends = arrived + deadline.min(route.timeout);
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -103,7 +103,7 @@
         &metrics_listen.to_string(),
         cx.metrics.registry(),
         status,
-        cx.closing.clone(),
+        cx.connection_shutdown.clone(),
     );
     if let Err(err) = page {
         log::warn!(err:% = err; "no metrics page");
@@ -128,12 +128,12 @@
     log::info!(within_ms = ends.as_millis() as u64; "stopping");
     let drain = async {
         tokio::time::sleep(STALE_ADDRESSES.min(ends / 2)).await;
-        cx.closing.cancel();
-        cx.serving.close();
-        cx.serving.wait().await;
+        cx.connection_shutdown.cancel();
+        cx.caller_tasks.close();
+        cx.caller_tasks.wait().await;
     };
     if tokio::time::timeout(ends, drain).await.is_err() {
-        log::warn!(open = cx.serving.len(); "stopped before everything was answered");
+        log::warn!(open = cx.caller_tasks.len(); "stopped before everything was answered");
     }
     let _ = tokio::time::timeout(STOP_MARGIN / 2, duties).await;
     log::info!("stopped");
@@ -153,7 +153,7 @@
         clock: Arc::new(SystemClock),
         lease_clock: Arc::new(BootClock::new()),
         store: Store::new(settings.store.clone(), store_timeout),
-        pool: Pool::default(),
+        request_pool: Pool::default(),
         order_pool: Pool::default(),
         fleet: Fleet::new(member.clone()),
         routing: SharedRoutingState::new(bound, ASSUMED_NODES, settings.selection_costs()),
@@ -165,8 +165,8 @@
         desks: Desks::default(),
         metrics: NodeMetrics::default(),
         stopping,
-        closing: CancellationToken::new(),
-        serving: TaskTracker::new(),
+        connection_shutdown: CancellationToken::new(),
+        caller_tasks: TaskTracker::new(),
         rng: Mutex::new(SmallRng::seed_from_u64(tenure)),
         settings,
     }
--- a/savoryport/src/node/reader.rs
+++ b/savoryport/src/node/reader.rs
@@ -104,7 +104,7 @@
                 cx.metrics.store_failures.inc();
                 cx.store_contact.failed(cx.now());
                 failures += 1;
-                tokio::time::sleep(pause(failures, cx.draw())).await;
+                tokio::time::sleep(pause(failures, cx.random_unit())).await;
             }
         }
         cx.fleet.update(|state| {
--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -175,7 +175,7 @@
             cause => cause,
         };
         if promises_not_run(cause.status()) {
-            Refusal::retry(cause, COME_BACK.mul_f64(1.0 + self.cx.draw()))
+            Refusal::retry(cause, COME_BACK.mul_f64(1.0 + self.cx.random_unit()))
         } else {
             Refusal::of(cause)
         }
@@ -245,10 +245,11 @@
         };
         let address: Name = server.address.to_string().into();
         let connect = Duration::from_millis(self.cx.settings.connect_timeout_ms).min(self.left());
-        let mut connection = match self.cx.pool.connect_within(&address, max_idle, connect).await {
-            Ok(connection) => connection,
-            Err(err) => return self.not_connected(picked, &err),
-        };
+        let mut connection =
+            match self.cx.request_pool.connect_within(&address, max_idle, connect).await {
+                Ok(connection) => connection,
+                Err(err) => return self.not_connected(picked, &err),
+            };
         let flight = Flight::begin(self, picked);
         self.tried.push(server.id.clone());
         let sent_at = self.cx.now();
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -63,7 +63,7 @@
         pieces,
         relay,
     };
-    let serving = forwarder.relay.cx.serving.clone();
+    let serving = forwarder.relay.cx.caller_tasks.clone();
     serving.spawn(forwarder.run(opened, picked));
     answer
 }
@@ -84,7 +84,7 @@
                     let Opened { connection, headers, flight, .. } = opened;
                     drop(flight);
                     self.relay.note(&picked.server.id, ServerOutcome::Answered);
-                    self.relay.cx.pool.keep(connection, keep_alive(&headers));
+                    self.relay.cx.request_pool.keep(connection, keep_alive(&headers));
                     return self.relay.log_end("streamed", status, None);
                 }
                 End::CallerLeft => return self.relay.log_end("caller-left", status, None),
--- a/savoryport/src/node/verdict.rs
+++ b/savoryport/src/node/verdict.rs
@@ -30,7 +30,7 @@
                 let took = self.cx.now() - flight.sent_at();
                 let server = &picked.server.id;
                 self.cx.routing.lock().speeds.note_service(server, &self.service, took);
-                self.cx.pool.keep(connection, keep_alive(&headers));
+                self.cx.request_pool.keep(connection, keep_alive(&headers));
                 strip_connection_headers(&mut headers);
                 self.log_end("answered", status.as_u16(), None);
                 Attempt::Answer(pass_on(status, headers, body))
@@ -54,7 +54,7 @@
         self.cx.metrics.not_run.inc();
         self.learn_from_refusal(status, picked);
         if collect(body, REST_TIMEOUT).await.is_some() {
-            self.cx.pool.keep(connection, keep_alive(&headers));
+            self.cx.request_pool.keep(connection, keep_alive(&headers));
         }
     }
 
@@ -88,7 +88,7 @@
         self.in_doubt = true;
         self.note(&picked.server.id, ServerOutcome::Failed);
         let Some(body) = body else { return Attempt::Next };
-        self.cx.pool.keep(connection, keep_alive(&headers));
+        self.cx.request_pool.keep(connection, keep_alive(&headers));
         strip_connection_headers(&mut headers);
         // A status that promises "not run" without the server's word for it would be a lie.
         if promises_not_run(status) && !self.route.kind.is_repeatable() {
