--- a/savoryport/src/node/events.rs
+++ b/savoryport/src/node/event_splitter.rs
@@ -10,7 +10,7 @@
 
 /// Cuts bytes into events.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     pending: BytesMut,
     /// How far [`Self::pending`] was searched.
     searched: usize,
@@ -18,14 +18,14 @@
 
 /// A whole event.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeEvent {
+pub struct SseEvent {
     /// Its id, if it has one.
     pub id: Option<u64>,
     /// Its bytes, with the blank line that ends it.
     pub bytes: Bytes,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Takes bytes; returns `false` once an event is longer than any should be.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.pending.extend_from_slice(bytes);
@@ -33,20 +33,20 @@
     }
 
     /// Returns the next whole event.
-    pub fn next_event(&mut self) -> Option<WholeEvent> {
+    pub fn next_event(&mut self) -> Option<SseEvent> {
         let end = self.find_end()?;
         self.searched = 0;
         let bytes = self.pending.split_to(end).freeze();
-        Some(WholeEvent { id: event_id(&bytes), bytes })
+        Some(SseEvent { id: event_id(&bytes), bytes })
     }
 
     /// Returns whether bytes of an unfinished event are left.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
     /// Takes the bytes of an unfinished event.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_partial_event(&mut self) -> Bytes {
         self.searched = 0;
         self.pending.split().freeze()
     }
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -12,7 +12,7 @@
 mod dispatch;
 mod duty;
 mod engine;
-pub mod events;
+pub mod event_splitter;
 pub mod fleet;
 mod flight;
 mod hub;
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 
 use super::dispatch::Picked;
-use super::events::EventCutter;
+use super::event_splitter::EventSplitter;
 use super::relay::{Opened, Relay};
 use super::response::{Body, BrokenOff};
 
@@ -41,7 +41,7 @@
 struct Forwarder {
     relay: Relay,
     pieces: mpsc::Sender<Result<Frame<Bytes>, BrokenOff>>,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     is_resumable: bool,
     /// The last event that was passed on.
     last_event: Option<u64>,
@@ -59,7 +59,7 @@
     let forwarder = Forwarder {
         is_resumable: relay.route.kind == RequestKind::Stream { resumable: true },
         last_event: relay.head.last_event,
-        cutter: EventCutter::default(),
+        cutter: EventSplitter::default(),
         pieces,
         relay,
     };
@@ -111,7 +111,7 @@
         if !self.may_resume() {
             return None;
         }
-        self.cutter = EventCutter::default();
+        self.cutter = EventSplitter::default();
         while self.may_resume() && !self.relay.left().is_zero() {
             let picked = tokio::select! {
                 picked = self.relay.pick() => picked,
@@ -222,10 +222,10 @@
     }
 
     async fn finish(&mut self) -> End {
-        if !self.cutter.has_rest() {
+        if !self.cutter.has_partial_event() {
             return End::Whole;
         }
-        let rest = self.cutter.take_rest();
+        let rest = self.cutter.take_partial_event();
         self.send(rest).await.unwrap_or(End::Whole)
     }
 
--- a/savoryport/tests/node_parts.rs
+++ b/savoryport/tests/node_parts.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use assert_matches::assert_matches;
-use savoryport::node::events::EventCutter;
+use savoryport::node::event_splitter::EventSplitter;
 use savoryport::node::fleet::Fleet;
 use savoryport::node::prompts::PromptLog;
 use savoryport::node::reader::StoreContact;
@@ -19,7 +19,7 @@
 fn events_are_cut_at_blank_lines_however_their_bytes_arrive() {
     let stream = "id: 1\ndata: a\n\nversion: 2\nid: 2\r\ndata: b\r\n\r\ndata: no id\n\nid: 4\nda";
     for size in 1..stream.len() {
-        let mut cutter = EventCutter::default();
+        let mut cutter = EventSplitter::default();
         let mut seen = Vec::new();
         for piece in stream.as_bytes().chunks(size) {
             assert!(cutter.push(piece));
@@ -29,16 +29,16 @@
         }
         let ids: Vec<_> = seen.iter().map(|event| event.id).collect();
         assert_eq!(ids, [Some(1), Some(2), None], "pieces of {size}");
-        assert!(cutter.has_rest());
+        assert!(cutter.has_partial_event());
         let mut bytes: Vec<u8> = seen.iter().flat_map(|event| event.bytes.to_vec()).collect();
-        bytes.extend(cutter.take_rest());
+        bytes.extend(cutter.take_partial_event());
         assert_eq!(bytes, stream.as_bytes());
     }
 }
 
 #[test]
 fn an_endless_event_is_not_kept() {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     let piece = vec![b'x'; 64 * 1024];
     assert!((0..32).any(|_| !cutter.push(&piece)));
 }
