--- a/savoryport/src/node/hub.rs
+++ b/savoryport/src/node/hub.rs
@@ -13,7 +13,7 @@
 
 use super::NodeError;
 use super::context::NodeContext;
-use super::prompts::PromptLog;
+use super::prompt_log::PromptLog;
 use super::rpc::{
     CopyUse, MAX_MESSAGE_BYTES, Peer, Position, PromptRecord, Role, SyncReply, SyncRequest,
     WishReply,
@@ -68,7 +68,7 @@
             state.followers.insert(vm.clone(), told);
         }
         state.add_work(&req.work_ms);
-        state.prompts.add(vm, &req.prompts, now);
+        state.prompts.add_local(vm, &req.prompts, now);
     }
 
     /// Takes the sums of another failure domain.
@@ -106,12 +106,12 @@
     ) {
         let mut state = self.lock();
         state.add_work(work_ms);
-        state.prompts.add(vm, prompts, now);
+        state.prompts.add_local(vm, prompts, now);
     }
 
     /// Takes prompts that nodes of another failure domain sent, for the followers.
     pub fn note_domain_prompts(&self, prompts: &[PromptRecord]) {
-        self.lock().prompts.add_foreign(prompts);
+        self.lock().prompts.add_remote(prompts);
     }
 
     /// Returns the work by model that arrived since the last call, in milliseconds.
@@ -193,11 +193,11 @@
         };
         add_loads(&mut loads, cx.routing.lock().loads.own());
         let (prompt_count, prompts) = match req.role {
-            Role::Follower => cx.hub.lock().prompts.since(req.have.prompts, &req.member.vm),
+            Role::Follower => cx.hub.lock().prompts.records_since(req.have.prompts, &req.member.vm),
             Role::Holder if req.have.tenure == cx.tenure => {
-                cx.hub.lock().prompts.shared_since(req.have.prompts)
+                cx.hub.lock().prompts.shared_prefixes_since(req.have.prompts)
             }
-            Role::Holder => cx.hub.lock().prompts.shared_since(0),
+            Role::Holder => cx.hub.lock().prompts.shared_prefixes_since(0),
         };
         let mut reply = SyncReply {
             position: Position::default(),
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -20,7 +20,7 @@
 mod metrics;
 mod peers;
 mod planner;
-pub mod prompts;
+pub mod prompt_log;
 pub mod reader;
 mod relay;
 mod response;
--- a/savoryport/src/node/prompts.rs
+++ b/savoryport/src/node/prompt_log.rs
@@ -40,7 +40,7 @@
 
 impl PromptLog {
     /// Enters prompts that a node of this failure domain sent.
-    pub fn add(&mut self, vm: &Name, prompts: &[PromptRecord], now: Instant) {
+    pub fn add_local(&mut self, vm: &Name, prompts: &[PromptRecord], now: Instant) {
         for record in prompts {
             let is_news = self.is_news(record, now);
             self.push(Some(vm.clone()), record.clone(), is_news);
@@ -48,7 +48,7 @@
     }
 
     /// Enters prompts that another failure domain told.
-    pub fn add_foreign(&mut self, prompts: &[PromptRecord]) {
+    pub fn add_remote(&mut self, prompts: &[PromptRecord]) {
         for record in prompts {
             self.push(None, record.clone(), false);
         }
@@ -56,14 +56,14 @@
 
     /// Returns the position after the last record, and the records after `position` that `vm` did not
     /// send itself.
-    pub fn since(&self, position: u64, vm: &str) -> (u64, Vec<PromptRecord>) {
+    pub fn records_since(&self, position: u64, vm: &str) -> (u64, Vec<PromptRecord>) {
         let news = self.after(position).filter(|entered| entered.vm.as_deref() != Some(vm));
         (self.count, news.map(|entered| entered.record.clone()).collect())
     }
 
     /// Returns the position after the last record, and the shared beginnings after `position` for
     /// another failure domain.
-    pub fn shared_since(&self, position: u64) -> (u64, Vec<PromptRecord>) {
+    pub fn shared_prefixes_since(&self, position: u64) -> (u64, Vec<PromptRecord>) {
         let news = self.after(position).filter(|entered| entered.is_news);
         let shared = news.map(|Entered { record, .. }| PromptRecord {
             keys: record.shared_keys().iter().copied().collect(),
--- a/savoryport/tests/node_parts.rs
+++ b/savoryport/tests/node_parts.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 use savoryport::node::event_splitter::EventSplitter;
 use savoryport::node::fleet::Fleet;
-use savoryport::node::prompts::PromptLog;
+use savoryport::node::prompt_log::PromptLog;
 use savoryport::node::reader::StoreContact;
 use savoryport::node::rpc::PromptRecord;
 use savoryport::node::settings::{NodeSettings, NodeSettingsError};
@@ -102,24 +102,24 @@
 #[test]
 fn other_failure_domains_hear_of_a_shared_beginning_once_and_of_nothing_else() {
     let (mut log, now) = (PromptLog::default(), Instant::now());
-    log.add(&"a".into(), &[prompt(1, 10), prompt(1, 11), prompt(2, 12)], now);
-    let (position, told) = log.shared_since(0);
+    log.add_local(&"a".into(), &[prompt(1, 10), prompt(1, 11), prompt(2, 12)], now);
+    let (position, told) = log.shared_prefixes_since(0);
     let keys: Vec<_> = told.iter().map(|record| record.keys.to_vec()).collect();
     assert_eq!(keys, [[(1, 6_300)], [(2, 6_300)]]);
-    log.add(&"a".into(), &[prompt(1, 13)], now);
-    assert_eq!(log.shared_since(position).1, []);
+    log.add_local(&"a".into(), &[prompt(1, 13)], now);
+    assert_eq!(log.shared_prefixes_since(position).1, []);
     // Told again after a while, or it would be forgotten elsewhere while it is in use here.
-    log.add(&"a".into(), &[prompt(1, 14)], now + Duration::from_secs(6));
-    assert_eq!(log.shared_since(position).1.len(), 1);
+    log.add_local(&"a".into(), &[prompt(1, 14)], now + Duration::from_secs(6));
+    assert_eq!(log.shared_prefixes_since(position).1.len(), 1);
 }
 
 #[test]
 fn followers_hear_of_whole_prompts_and_of_other_domains_beginnings() {
     let (mut log, now) = (PromptLog::default(), Instant::now());
-    log.add(&"a".into(), &[prompt(1, 10)], now);
-    log.add_foreign(&[prompt(3, 30)]);
-    assert_eq!(log.since(0, "a").1, [prompt(3, 30)]);
-    assert_eq!(log.since(0, "b").1, [prompt(1, 10), prompt(3, 30)]);
-    let told_on = log.shared_since(0).1;
+    log.add_local(&"a".into(), &[prompt(1, 10)], now);
+    log.add_remote(&[prompt(3, 30)]);
+    assert_eq!(log.records_since(0, "a").1, [prompt(3, 30)]);
+    assert_eq!(log.records_since(0, "b").1, [prompt(1, 10), prompt(3, 30)]);
+    let told_on = log.shared_prefixes_since(0).1;
     assert!(told_on.iter().all(|record| record.keys[0].0 == 1), "foreign news is not told on");
 }
