--- a/savoryport/src/node/flight.rs
+++ b/savoryport/src/node/in_flight.rs
@@ -12,7 +12,7 @@
 use super::rpc::PromptRecord;
 
 /// Counts a request at its server until it is dropped.
-pub struct Flight {
+pub struct InFlightRequest {
     cx: Arc<NodeContext>,
     server: Name,
     rank: u8,
@@ -25,7 +25,7 @@
     has_first_token: bool,
 }
 
-impl Flight {
+impl InFlightRequest {
     /// Counts a request that leaves for the picked server.
     pub(super) fn begin(relay: &Relay, picked: &Picked) -> Self {
         let cx = relay.cx.clone();
@@ -87,7 +87,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         let mut routing = self.cx.routing.lock();
         if !self.has_first_token {
--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -19,7 +19,7 @@
 
 use super::context::NodeContext;
 use super::dispatch::Picked;
-use super::flight::Flight;
+use super::in_flight::InFlightRequest;
 use super::response::{Body, Refusal, RefusalCause, pass_on};
 use super::stream;
 
@@ -97,7 +97,7 @@
     pub(super) first: Option<Bytes>,
     pub(super) body: Incoming,
     pub(super) connection: Connection,
-    pub(super) flight: Flight,
+    pub(super) flight: InFlightRequest,
 }
 
 /// What a server answered.
@@ -250,7 +250,7 @@
                 Ok(connection) => connection,
                 Err(err) => return self.not_connected(picked, &err),
             };
-        let flight = Flight::begin(self, picked);
+        let flight = InFlightRequest::begin(self, picked);
         self.tried.push(server.id.clone());
         let sent_at = self.cx.now();
         let req = self.request(picked, resume_after);
