--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -1,6 +1,6 @@
 //! A node: one process a VM, which takes callers' requests and any duty that needs a holder.
 //!
-//! A request's way leads through `callers`, `intake`, `relay`, `dispatch`, `verdict` and
+//! A request's way leads through `callers`, `receive`, `relay`, `dispatch`, `verdict` and
 //! `stream`; `reader`, `sync` and
 //! `duty` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
 
@@ -16,12 +16,12 @@
 pub mod fleet;
 mod hub;
 mod in_flight;
-mod intake;
 mod metrics;
 mod peers;
 mod planner;
 pub mod prompt_log;
 pub mod reader;
+mod receive;
 mod relay;
 mod response;
 mod routing_state;
