--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -1,6 +1,6 @@
 //! A node: one process a VM, which takes callers' requests and any duty that needs a holder.
 //!
-//! A request's way leads through `callers`, `receive`, `relay`, `dispatch`, `verdict` and
+//! A request's way leads through `callers`, `receive`, `relay`, `dispatch`, `server_response` and
 //! `stream`; `reader`, `sync` and
 //! `duty` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
 
@@ -26,11 +26,11 @@
 mod response;
 mod routing_state;
 pub mod rpc;
+mod server_response;
 pub mod settings;
 mod status;
 mod stream;
 mod sync;
-mod verdict;
 pub mod view;
 
 use std::io;
