--- a/savoryport/src/node/callers.rs
+++ b/savoryport/src/node/callers.rs
@@ -17,7 +17,7 @@
 
 use super::NodeError;
 use super::context::NodeContext;
-use super::relay;
+use super::proxy;
 use super::response::Body;
 
 /// The time for a head before a configuration gives one, and for an idle connection.
@@ -102,7 +102,7 @@
     cx: Arc<NodeContext>,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
-    let mut answer = relay::serve(cx.clone(), req).await;
+    let mut answer = proxy::serve(cx.clone(), req).await;
     if cx.stopping.is_cancelled() {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -13,7 +13,7 @@
 use savoryport_core::node::selection::{Candidate, Demanded, Distance, choose};
 
 use super::planner::engine_domains;
-use super::relay::Relay;
+use super::proxy::ProxyRequest;
 use super::response::{Refusal, RefusalCause};
 use super::rpc::WishReply;
 use super::view::View;
@@ -61,7 +61,7 @@
     Overload { expected: Duration, retry_after: Duration },
 }
 
-impl Relay {
+impl ProxyRequest {
     /// Counts the work that this request asks for.
     pub(super) fn note_work(&self) {
         let Some(asked) = &self.head.generation else { return };
--- a/savoryport/src/node/in_flight.rs
+++ b/savoryport/src/node/in_flight.rs
@@ -7,7 +7,7 @@
 
 use super::context::NodeContext;
 use super::dispatch::Picked;
-use super::relay::Relay;
+use super::proxy::ProxyRequest;
 use super::routing_state::CopyKey;
 use super::rpc::PromptRecord;
 
@@ -27,7 +27,7 @@
 
 impl InFlightRequest {
     /// Counts a request that leaves for the picked server.
-    pub(super) fn begin(relay: &Relay, picked: &Picked) -> Self {
+    pub(super) fn begin(relay: &ProxyRequest, picked: &Picked) -> Self {
         let cx = relay.cx.clone();
         let now = cx.now();
         let server = &picked.server;
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -1,6 +1,6 @@
 //! A node: one process a VM, which takes callers' requests and any duty that needs a holder.
 //!
-//! A request's way leads through `callers`, `receive`, `relay`, `dispatch`, `server_response` and
+//! A request's way leads through `callers`, `receive`, `proxy`, `dispatch`, `server_response` and
 //! `stream`; `reader`, `sync` and
 //! `duty` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
 
@@ -20,9 +20,9 @@
 mod peers;
 mod planner;
 pub mod prompt_log;
+mod proxy;
 pub mod reader;
 mod receive;
-mod relay;
 mod response;
 mod routing_state;
 pub mod rpc;
--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/proxy.rs
@@ -44,7 +44,7 @@
 const LONG_PATIENCE_SHARE: f64 = 0.5;
 
 /// One request on its way.
-pub struct Relay {
+pub struct ProxyRequest {
     pub(super) cx: Arc<NodeContext>,
     pub(super) deployment: Arc<Deployment>,
     pub(super) route: Route,
@@ -109,7 +109,7 @@
 /// Serves one request of a caller.
 pub async fn serve(cx: Arc<NodeContext>, req: Request<Incoming>) -> Response<Body> {
     let arrived = cx.now();
-    match Relay::begin(cx.clone(), req, arrived).await {
+    match ProxyRequest::begin(cx.clone(), req, arrived).await {
         Ok(relay) => relay.run().await,
         Err(refusal) => {
             cx.metrics.note_refusal(refusal.cause);
@@ -118,7 +118,7 @@
     }
 }
 
-impl Relay {
+impl ProxyRequest {
     async fn run(mut self) -> Response<Body> {
         self.note_work();
         loop {
--- a/savoryport/src/node/receive.rs
+++ b/savoryport/src/node/receive.rs
@@ -12,10 +12,10 @@
 use savoryport_core::node::deployment::{Deployment, Route};
 
 use super::context::NodeContext;
-use super::relay::Relay;
+use super::proxy::ProxyRequest;
 use super::response::{Refusal, RefusalCause};
 
-impl Relay {
+impl ProxyRequest {
     /// Reads a whole request; what cannot be served by any server is refused here.
     pub(super) async fn begin(
         cx: Arc<NodeContext>,
--- a/savoryport/src/node/server_response.rs
+++ b/savoryport/src/node/server_response.rs
@@ -11,7 +11,7 @@
 use savoryport_core::node::health::ServerOutcome;
 
 use super::dispatch::Picked;
-use super::relay::{Attempt, Opened, Relay};
+use super::proxy::{Attempt, Opened, ProxyRequest};
 use super::response::pass_on;
 
 /// The rest of an answer that did not run is read for this long, to keep the connection.
@@ -20,7 +20,7 @@
 /// The longest whole answer that is held in memory, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-impl Relay {
+impl ProxyRequest {
     pub(super) async fn whole_answer(&mut self, opened: Opened, picked: &Picked) -> Attempt {
         let Opened { status, mut headers, body, connection, mut flight, .. } = opened;
         match collect(body, self.left()).await {
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -14,7 +14,7 @@
 
 use super::dispatch::Picked;
 use super::event_splitter::EventSplitter;
-use super::relay::{Opened, Relay};
+use super::proxy::{Opened, ProxyRequest};
 use super::response::{Body, BrokenOff};
 
 /// Pieces that wait for a caller who reads slowly.
@@ -39,7 +39,7 @@
 
 /// One stream on its way to the caller.
 struct Forwarder {
-    relay: Relay,
+    relay: ProxyRequest,
     pieces: mpsc::Sender<Result<Frame<Bytes>, BrokenOff>>,
     cutter: EventSplitter,
     is_resumable: bool,
@@ -48,7 +48,7 @@
 }
 
 /// Answers with the head of the first server's stream, and passes its events on in a task.
-pub(super) fn forward(relay: Relay, opened: Opened, picked: Picked) -> Response<Body> {
+pub(super) fn forward(relay: ProxyRequest, opened: Opened, picked: Picked) -> Response<Body> {
     let (pieces, rx) = mpsc::channel(CALLER_BUFFER);
     let mut headers = opened.headers.clone();
     strip_connection_headers(&mut headers);
