--- a/savoryport/src/node/in_flight.rs
+++ b/savoryport/src/node/in_flight.rs
@@ -6,10 +6,10 @@
 use savoryport_core::Name;
 
 use super::context::NodeContext;
-use super::dispatch::Picked;
 use super::proxy::ProxyRequest;
 use super::routing_state::CopyKey;
 use super::rpc::PromptRecord;
+use super::server_selection::Picked;
 
 /// Counts a request at its server until it is dropped.
 pub struct InFlightRequest {
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -1,6 +1,6 @@
 //! A node: one process a VM, which takes callers' requests and any duty that needs a holder.
 //!
-//! A request's way leads through `callers`, `receive`, `proxy`, `dispatch`, `server_response` and
+//! A request's way leads through `callers`, `receive`, `proxy`, `server_selection`, `server_response` and
 //! `stream`; `reader`, `sync` and
 //! `duty` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
 
@@ -9,7 +9,6 @@
 mod context;
 mod desk;
 mod directory;
-mod dispatch;
 mod duty;
 mod engine;
 pub mod event_splitter;
@@ -27,6 +26,7 @@
 mod routing_state;
 pub mod rpc;
 mod server_response;
+mod server_selection;
 pub mod settings;
 mod status;
 mod stream;
--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -18,9 +18,9 @@
 use savoryport_platform::connection::{Connection, SendError};
 
 use super::context::NodeContext;
-use super::dispatch::Picked;
 use super::in_flight::InFlightRequest;
 use super::response::{Body, Refusal, RefusalCause, pass_on};
+use super::server_selection::Picked;
 use super::stream;
 
 /// A non-idempotent request uses a kept connection only if it was in use this recently: on one that
--- a/savoryport/src/node/server_response.rs
+++ b/savoryport/src/node/server_response.rs
@@ -10,9 +10,9 @@
 use savoryport_core::Name;
 use savoryport_core::node::health::ServerOutcome;
 
-use super::dispatch::Picked;
 use super::proxy::{Attempt, Opened, ProxyRequest};
 use super::response::pass_on;
+use super::server_selection::Picked;
 
 /// The rest of an answer that did not run is read for this long, to keep the connection.
 const REST_TIMEOUT: Duration = Duration::from_millis(50);
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -12,10 +12,10 @@
 use savoryport_core::node::health::ServerOutcome;
 use tokio::sync::mpsc;
 
-use super::dispatch::Picked;
 use super::event_splitter::EventSplitter;
 use super::proxy::{Opened, ProxyRequest};
 use super::response::{Body, BrokenOff};
+use super::server_selection::Picked;
 
 /// Pieces that wait for a caller who reads slowly.
 const CALLER_BUFFER: usize = 16;
