--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -12,7 +12,7 @@
 use tokio_util::task::TaskTracker;
 
 use super::boards::SharedBoards;
-use super::desk::Desks;
+use super::domain_controller::DomainControllers;
 use super::fleet::Fleet;
 use super::hub::Hub;
 use super::metrics::NodeMetrics;
@@ -51,7 +51,7 @@
     /// Connections to other nodes.
     pub peers: Peers,
     /// Duties that this node holds.
-    pub desks: Desks,
+    pub controllers: DomainControllers,
     /// Counters and histograms.
     pub metrics: NodeMetrics,
     /// Cancelled when the node is asked to stop.
--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -256,9 +256,10 @@
         let Some(adapter) = &asked.adapter else { return true };
         let cx = &self.cx;
         let wanted = (server.id.clone(), asked.model.clone(), adapter.clone());
-        if cx.desks.holds(&server.failure_domain) {
+        if cx.controllers.holds(&server.failure_domain) {
             let (server, model, adapter) = &wanted;
-            return cx.desks.want_adapter(cx, server, model, adapter).await == WishReply::Ready;
+            return cx.controllers.want_adapter(cx, server, model, adapter).await
+                == WishReply::Ready;
         }
         let holder = cx.fleet.read(|state| state.holder(&server.failure_domain).cloned());
         let Some(holder) = holder else { return false };
@@ -294,8 +295,8 @@
         let cx = &self.cx;
         let domains = engine_domains(&cx.fleet.view(), &self.service);
         let domain = owner(model, domains.iter()).unwrap_or(&cx.settings.failure_domain);
-        let reply = if cx.desks.holds(domain) {
-            cx.desks.want_model(cx, &self.service, model, domain)
+        let reply = if cx.controllers.holds(domain) {
+            cx.controllers.want_model(cx, &self.service, model, domain)
         } else {
             let holder = cx.fleet.read(|state| state.holder(domain).cloned())?;
             let wish = async {
--- a/savoryport/src/node/desk.rs
+++ b/savoryport/src/node/domain_controller.rs
@@ -21,13 +21,13 @@
 /// The time that an adapter may take before a request looks elsewhere.
 const ADAPTER_PATIENCE: Duration = Duration::from_millis(400);
 
-/// The desks of this node, by failure domain.
+/// The controllers of this node, by failure domain.
 #[derive(Debug, Default)]
-pub struct Desks(Mutex<HashMap<Name, Arc<Desk>>>);
+pub struct DomainControllers(Mutex<HashMap<Name, Arc<DomainController>>>);
 
 /// One duty that this node holds.
 #[derive(Debug)]
-pub struct Desk {
+pub struct DomainController {
     /// The failure domain.
     pub domain: Name,
     /// Cancelled when the duty is lost or given up.
@@ -40,7 +40,7 @@
     pub planner: Mutex<Planner>,
 }
 
-impl Desks {
+impl DomainControllers {
     /// Returns whether this node holds the duty of a failure domain.
     pub fn holds(&self, domain: &str) -> bool {
         self.0.lock().expect("no holder panics").contains_key(domain)
@@ -52,24 +52,31 @@
     }
 
     /// Returns every desk.
-    pub fn all(&self) -> Vec<Arc<Desk>> {
+    pub fn all(&self) -> Vec<Arc<DomainController>> {
         self.0.lock().expect("no holder panics").values().cloned().collect()
     }
 
     /// Opens a desk and starts its work.
-    pub fn open(&self, cx: &Arc<NodeContext>, desk: Desk) -> Arc<Desk> {
-        let desk = Arc::new(desk);
-        self.0.lock().expect("no holder panics").insert(desk.domain.clone(), desk.clone());
-        let plan = plan(cx.clone(), desk.clone());
-        tokio::spawn(desk.cancel.clone().run_until_cancelled_owned(plan));
-        desk
+    pub fn open(
+        &self,
+        cx: &Arc<NodeContext>,
+        controller: DomainController,
+    ) -> Arc<DomainController> {
+        let controller = Arc::new(controller);
+        self.0
+            .lock()
+            .expect("no holder panics")
+            .insert(controller.domain.clone(), controller.clone());
+        let plan = plan(cx.clone(), controller.clone());
+        tokio::spawn(controller.cancel.clone().run_until_cancelled_owned(plan));
+        controller
     }
 
     /// Closes a desk: no order leaves it any more.
-    pub fn close(&self, desk: &Desk) {
-        desk.cancel.cancel();
-        desk.duty.lock().expect("no holder panics").lost();
-        self.0.lock().expect("no holder panics").remove(&desk.domain);
+    pub fn close(&self, controller: &DomainController) {
+        controller.cancel.cancel();
+        controller.duty.lock().expect("no holder panics").lost();
+        self.0.lock().expect("no holder panics").remove(&controller.domain);
     }
 
     /// Brings an adapter to a server; returns when it can be used.
@@ -81,12 +88,13 @@
         adapter: &Name,
     ) -> WishReply {
         let domain = cx.fleet.view().servers.get(server).map(|known| known.failure_domain.clone());
-        let desk = domain
+        let controller = domain
             .and_then(|domain| self.0.lock().expect("no holder panics").get(&domain).cloned());
-        let Some(desk) = desk.filter(|desk| desk.may_order(cx).is_some()) else {
+        let Some(controller) = controller.filter(|controller| controller.may_order(cx).is_some())
+        else {
             return WishReply::Unavailable;
         };
-        let Some(engine) = desk.engine(server) else { return WishReply::Unavailable };
+        let Some(engine) = controller.engine(server) else { return WishReply::Unavailable };
         let (reply, answer) = oneshot::channel();
         let (model, adapter) = (model.clone(), adapter.clone());
         engine.send(Command::Adapter { model, adapter, reply });
@@ -98,9 +106,11 @@
 
     /// Returns the demand of this node's failure domain, if this node decides for it.
     pub fn demand(&self, cx: &NodeContext) -> Vec<(Name, f64)> {
-        let desks = self.0.lock().expect("no holder panics");
-        let Some(desk) = desks.get(&cx.settings.failure_domain) else { return Vec::new() };
-        desk.planner.lock().expect("no holder panics").demand.demand().into_iter().collect()
+        let controllers = self.0.lock().expect("no holder panics");
+        let Some(controller) = controllers.get(&cx.settings.failure_domain) else {
+            return Vec::new();
+        };
+        controller.planner.lock().expect("no holder panics").demand.demand().into_iter().collect()
     }
 
     /// Notes that requests wait for a model, and tells how long it will take.
@@ -115,11 +125,12 @@
         let Some(spec) = view.deployment().and_then(|known| known.model(service, model)) else {
             return WishReply::Unavailable;
         };
-        let desk = self.0.lock().expect("no holder panics").get(domain).cloned();
-        let Some(desk) = desk.filter(|desk| desk.may_order(cx).is_some()) else {
+        let controller = self.0.lock().expect("no holder panics").get(domain).cloned();
+        let Some(controller) = controller.filter(|controller| controller.may_order(cx).is_some())
+        else {
             return WishReply::Unavailable;
         };
-        desk.planner.lock().expect("no holder panics").wishes.insert(model.clone(), cx.now());
+        controller.planner.lock().expect("no holder panics").wishes.insert(model.clone(), cx.now());
         let sources = view
             .servers
             .values()
@@ -130,7 +141,7 @@
     }
 }
 
-impl Desk {
+impl DomainController {
     /// Makes a desk for a duty that was won.
     pub fn new(domain: Name, lease: u64, duty: Duty) -> Self {
         Self {
@@ -188,7 +199,7 @@
     }
 }
 
-impl Desk {
+impl DomainController {
     /// Returns what the desk knows of its engines, for the status page.
     pub fn engines(&self) -> Vec<(Name, EngineLedger, Option<Move>)> {
         let engines = self.engines.lock().expect("no holder panics");
--- a/savoryport/src/node/duty.rs
+++ b/savoryport/src/node/duty.rs
@@ -9,7 +9,7 @@
 use savoryport_core::node::duty::Duty;
 
 use super::context::NodeContext;
-use super::desk::Desk;
+use super::domain_controller::DomainController;
 use super::reader::duty_key;
 use super::view::DutyHolder;
 
@@ -83,8 +83,8 @@
         vacant
             .filter(|domain| {
                 let since = *self.since.entry(domain.clone()).or_insert(now);
-                let is_adopted = cx.desks.holds_any() && now - since > ADOPT_AFTER;
-                !cx.desks.holds(domain) && (domain == own || is_adopted)
+                let is_adopted = cx.controllers.holds_any() && now - since > ADOPT_AFTER;
+                !cx.controllers.holds(domain) && (domain == own || is_adopted)
             })
             .collect()
     }
@@ -118,9 +118,10 @@
                 let mut duty = Duty::new(time_to_live);
                 duty.won(revision, asked_at, cx.lease_clock.now(), hand_over);
                 log::info!(domain = &**domain, token = revision, hand_over_ms = hand_over.as_millis() as u64; "duty taken");
-                let desk = cx.desks.open(cx, Desk::new(domain.clone(), lease, duty));
+                let controller =
+                    cx.controllers.open(cx, DomainController::new(domain.clone(), lease, duty));
                 cx.fleet.update(|state| state.set_holder(domain, Some(holder)));
-                tokio::spawn(keep(cx.clone(), desk));
+                tokio::spawn(keep(cx.clone(), controller));
             }
             Ok(Committed::Conflict) => {
                 self.held_before.insert(domain.clone());
@@ -136,39 +137,40 @@
 }
 
 /// Renews the lease of a desk until it ends, then closes the desk.
-async fn keep(cx: Arc<NodeContext>, desk: Arc<Desk>) {
+async fn keep(cx: Arc<NodeContext>, controller: Arc<DomainController>) {
     let pause = cx.settings.duty_lease() / RENEWALS_PER_LEASE;
     loop {
         tokio::time::sleep(pause).await;
-        if desk.cancel.is_cancelled() {
+        if controller.cancel.is_cancelled() {
             return;
         }
         let asked_at = cx.lease_clock.now();
         cx.metrics.store_calls.inc();
-        match cx.store.keep(desk.lease_id()).await {
+        match cx.store.keep(controller.lease_id()).await {
             Ok(()) => {
-                desk.renewed(asked_at);
+                controller.renewed(asked_at);
                 cx.store_contact.heard(cx.now());
             }
             Err(StoreError::LeaseEnded) => break,
-            Err(err) => log::debug!(domain = &*desk.domain, err:% = err; "duty not renewed"),
+            Err(err) => log::debug!(domain = &*controller.domain, err:% = err; "duty not renewed"),
         }
     }
-    log::warn!(domain = &*desk.domain; "duty lost");
-    cx.desks.close(&desk);
+    log::warn!(domain = &*controller.domain; "duty lost");
+    cx.controllers.close(&controller);
     cx.fleet.update(|state| {
-        let is_own = state.holder(&desk.domain).is_some_and(|holder| holder.vm == cx.settings.vm);
+        let is_own =
+            state.holder(&controller.domain).is_some_and(|holder| holder.vm == cx.settings.vm);
         if is_own {
-            state.set_holder(&desk.domain, None);
+            state.set_holder(&controller.domain, None);
         }
     });
 }
 
 async fn give_up_all(cx: &NodeContext) {
-    for desk in cx.desks.all() {
-        cx.desks.close(&desk);
-        log::info!(domain = &*desk.domain; "duty given up");
-        end_lease(cx, desk.lease_id()).await;
+    for controller in cx.controllers.all() {
+        cx.controllers.close(&controller);
+        log::info!(domain = &*controller.domain; "duty given up");
+        end_lease(cx, controller.lease_id()).await;
     }
 }
 
--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::context::NodeContext;
-use super::desk::Desk;
+use super::domain_controller::DomainController;
 use super::fleet::Residency;
 use super::rpc::WishReply;
 
@@ -78,12 +78,12 @@
 
 impl EngineHandle {
     /// Starts the task of an engine.
-    pub fn start(cx: &Arc<NodeContext>, desk: &Arc<Desk>, server: &Name) -> Self {
+    pub fn start(cx: &Arc<NodeContext>, controller: &Arc<DomainController>, server: &Name) -> Self {
         let (commands, rx) = mpsc::unbounded_channel();
         let handle = Self { commands, ledger: Arc::default(), moving: Arc::default() };
         let task = EngineTask {
             cx: cx.clone(),
-            desk: desk.clone(),
+            controller: controller.clone(),
             server: server.clone(),
             ledger: handle.ledger.clone(),
             moving: handle.moving.clone(),
@@ -93,7 +93,7 @@
             arriving: HashMap::new(),
             checked_at: None,
         };
-        tokio::spawn(desk.cancel.clone().run_until_cancelled_owned(task.run(rx)));
+        tokio::spawn(controller.cancel.clone().run_until_cancelled_owned(task.run(rx)));
         handle
     }
 
@@ -135,7 +135,7 @@
 
 struct EngineTask {
     cx: Arc<NodeContext>,
-    desk: Arc<Desk>,
+    controller: Arc<DomainController>,
     server: Name,
     ledger: Arc<Mutex<EngineLedger>>,
     moving: Arc<Mutex<Option<Move>>>,
@@ -285,7 +285,7 @@
         busy_for: Duration,
     ) -> Result<OrderAnswer, OrderObstacle> {
         let (server, class) = self.target().ok_or(OrderObstacle::Unknown)?;
-        let token = self.desk.may_order(&self.cx).ok_or(OrderObstacle::Unknown)?;
+        let token = self.controller.may_order(&self.cx).ok_or(OrderObstacle::Unknown)?;
         let expected = {
             let ledger = self.ledger();
             ledger.check(order, &class, self.cx.now())?;
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -9,9 +9,9 @@
 mod callers;
 mod clock;
 mod context;
-mod desk;
 mod directory;
 mod dispatch;
+mod domain_controller;
 mod duty;
 mod engine;
 pub mod events;
@@ -53,7 +53,7 @@
 use self::boards::SharedBoards;
 use self::clock::BootClock;
 use self::context::NodeContext;
-use self::desk::Desks;
+use self::domain_controller::DomainControllers;
 use self::fleet::Fleet;
 use self::hub::Hub;
 use self::metrics::NodeMetrics;
@@ -162,7 +162,7 @@
         tenure: tenure.max(1),
         member,
         peers: Peers::default(),
-        desks: Desks::default(),
+        controllers: DomainControllers::default(),
         metrics: NodeMetrics::default(),
         stopping,
         closing: CancellationToken::new(),
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -14,7 +14,7 @@
 use smallvec::SmallVec;
 
 use super::context::NodeContext;
-use super::desk::Desk;
+use super::domain_controller::DomainController;
 use super::engine::Command;
 use super::view::View;
 
@@ -41,7 +41,7 @@
 }
 
 /// Looks at the placement of models from time to time.
-pub async fn plan(cx: Arc<NodeContext>, desk: Arc<Desk>) {
+pub async fn plan(cx: Arc<NodeContext>, controller: Arc<DomainController>) {
     let period = Duration::from_millis(cx.settings.placement_period_ms);
     loop {
         tokio::time::sleep(period).await;
@@ -53,20 +53,20 @@
                 .servers
                 .values()
                 .filter(|server| server.service == service.name)
-                .filter(|server| server.failure_domain == desk.domain && server.is_ready())
+                .filter(|server| server.failure_domain == controller.domain && server.is_ready())
                 .cloned()
                 .collect();
-            desk.follow_servers(&cx, &servers);
-            if desk.may_order(&cx).is_some() {
-                note_copy_uses(&cx, &desk);
-                look(&cx, &desk, &view, &service.name, class, &servers);
+            controller.follow_servers(&cx, &servers);
+            if controller.may_order(&cx).is_some() {
+                note_copy_uses(&cx, &controller);
+                look(&cx, &controller, &view, &service.name, class, &servers);
             }
         }
     }
 }
 
-fn note_copy_uses(cx: &NodeContext, desk: &Desk) {
-    let engines = desk.handles();
+fn note_copy_uses(cx: &NodeContext, controller: &DomainController) {
+    let engines = controller.handles();
     for engine in engines.values() {
         engine.ledger().clear_uses();
     }
@@ -82,23 +82,23 @@
 
 fn look(
     cx: &NodeContext,
-    desk: &Desk,
+    controller: &DomainController,
     view: &View,
     service: &Name,
     class: &EngineClass,
     servers: &[Arc<BackendServer>],
 ) {
     let now = cx.now();
-    let mut planner = desk.planner.lock().expect("no holder panics");
-    if desk.domain == cx.settings.failure_domain {
+    let mut planner = controller.planner.lock().expect("no holder panics");
+    if controller.domain == cx.settings.failure_domain {
         let work = cx.hub.take_work();
         planner.demand.observe(&work, now);
     }
     planner.wishes.retain(|_, at| now.saturating_duration_since(*at) < WISH_LIFETIME);
     let holders = holders_by_model(view, service);
-    let missing = planner.missing(view, service, class, &desk.domain, &holders, now);
+    let missing = planner.missing(view, service, class, &controller.domain, &holders, now);
     let demand = planner.demand_with_wishes();
-    let neighbours = neighbours(cx, view, service, &desk.domain);
+    let neighbours = neighbours(cx, view, service, &controller.domain);
     let needs = Needs {
         class,
         servers,
@@ -108,7 +108,7 @@
         neighbours: &neighbours,
     };
     for _ in 0..MAX_MOVES_PER_LOOK {
-        let chosen = planner.choose(cx, desk, &needs);
+        let chosen = planner.choose(cx, controller, &needs);
         let Some(chosen) = chosen else { return };
         planner.note(&chosen, now);
         cx.metrics.loads.inc();
@@ -116,7 +116,7 @@
             server = &*chosen.server, model = &*chosen.load, source:? = chosen.source,
             unload:? = chosen.unload, value = chosen.value; "move decided"
         );
-        if let Some(engine) = desk.engine(&chosen.server) {
+        if let Some(engine) = controller.engine(&chosen.server) {
             engine.send(Command::Move(chosen));
         }
     }
@@ -170,7 +170,12 @@
         demand
     }
 
-    fn choose(&mut self, cx: &NodeContext, desk: &Desk, needs: &Needs<'_>) -> Option<Move> {
+    fn choose(
+        &mut self,
+        cx: &NodeContext,
+        controller: &DomainController,
+        needs: &Needs<'_>,
+    ) -> Option<Move> {
         let Needs { class, servers, holders, missing, demand, neighbours } = *needs;
         let now = cx.now();
         let window = Duration::from_secs_f64(cx.settings.load_window_s);
@@ -187,7 +192,7 @@
         let options: Vec<PlacementServer<'_>> = servers
             .iter()
             .filter_map(|server| {
-                let engine = desk.engine(&server.id)?;
+                let engine = controller.engine(&server.id)?;
                 let ledger = engine.ledger();
                 let moving = engine.moving();
                 let mut models: SmallVec<[Name; 4]> = ledger.models().cloned().collect();
@@ -217,7 +222,7 @@
             servers: &options,
             holders,
             missing,
-            domain: &desk.domain,
+            domain: &controller.domain,
             demand,
             neighbours,
             may_use_store,
--- a/savoryport/src/node/status.rs
+++ b/savoryport/src/node/status.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 
 use super::context::NodeContext;
-use super::desk::Desk;
+use super::domain_controller::DomainController;
 
 /// Returns the node's beliefs: the configuration, members, duties, servers and orders under way.
 pub fn status(cx: &NodeContext) -> Value {
@@ -39,12 +39,12 @@
         "members": members,
         "holders": view.holders,
         "servers": servers,
-        "duties": cx.desks.all().iter().map(|desk| duty(cx, desk)).collect::<Vec<_>>(),
+        "duties": cx.controllers.all().iter().map(|controller| duty(cx, controller)).collect::<Vec<_>>(),
     })
 }
 
-fn duty(cx: &NodeContext, desk: &Desk) -> Value {
-    let engines = desk.engines().into_iter().map(|(server, ledger, moving)| {
+fn duty(cx: &NodeContext, controller: &DomainController) -> Value {
+    let engines = controller.engines().into_iter().map(|(server, ledger, moving)| {
         json!({
             "server": server,
             "models": ledger.models().collect::<Vec<_>>(),
@@ -54,8 +54,8 @@
         })
     });
     json!({
-        "failure_domain": desk.domain,
-        "may_order": desk.may_order(cx).is_some(),
+        "failure_domain": controller.domain,
+        "may_order": controller.may_order(cx).is_some(),
         "engines": engines.collect::<Vec<_>>(),
     })
 }
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -66,7 +66,7 @@
     let domain = &cx.settings.failure_domain;
     let own = &cx.settings.vm;
     // A holder reads for the others; so does one that still holds a foreign domain's duty.
-    if cx.desks.holds_any() {
+    if cx.controllers.holds_any() {
         publish_own(cx);
         return true;
     }
@@ -181,7 +181,7 @@
     let period = Duration::from_millis(cx.settings.exchange_period_ms);
     loop {
         tokio::time::sleep(period).await;
-        if !cx.desks.holds_any() {
+        if !cx.controllers.holds_any() {
             positions.clear();
             continue;
         }
@@ -249,7 +249,7 @@
         have: Position { config: cx.fleet.view().version(), ..have },
         loads: loads.into_iter().collect(),
         work_ms: Vec::new(),
-        demand: if cx.settings.is_near(domain) { cx.desks.demand(cx) } else { Vec::new() },
+        demand: if cx.settings.is_near(domain) { cx.controllers.demand(cx) } else { Vec::new() },
         copies: cx.copies_in_domain(domain),
         prompts: Vec::new(),
     };
