--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -256,9 +256,9 @@
         let Some(adapter) = &asked.adapter else { return true };
         let cx = &self.cx;
         let wanted = (server.id.clone(), asked.model.clone(), adapter.clone());
-        if cx.controllers.holds(&server.failure_domain) {
+        if cx.controllers.holds_duty(&server.failure_domain) {
             let (server, model, adapter) = &wanted;
-            return cx.controllers.want_adapter(cx, server, model, adapter).await
+            return cx.controllers.ensure_adapter(cx, server, model, adapter).await
                 == WishReply::Ready;
         }
         let holder = cx.fleet.read(|state| state.holder(&server.failure_domain).cloned());
@@ -295,8 +295,8 @@
         let cx = &self.cx;
         let domains = engine_domains(&cx.fleet.view(), &self.service);
         let domain = owner(model, domains.iter()).unwrap_or(&cx.settings.failure_domain);
-        let reply = if cx.controllers.holds(domain) {
-            cx.controllers.want_model(cx, &self.service, model, domain)
+        let reply = if cx.controllers.holds_duty(domain) {
+            cx.controllers.request_model(cx, &self.service, model, domain)
         } else {
             let holder = cx.fleet.read(|state| state.holder(domain).cloned())?;
             let wish = async {
--- a/savoryport/src/node/domain_controller.rs
+++ b/savoryport/src/node/domain_controller.rs
@@ -42,12 +42,12 @@
 
 impl DomainControllers {
     /// Returns whether this node holds the duty of a failure domain.
-    pub fn holds(&self, domain: &str) -> bool {
+    pub fn holds_duty(&self, domain: &str) -> bool {
         self.0.lock().expect("no holder panics").contains_key(domain)
     }
 
     /// Returns whether this node holds any duty.
-    pub fn holds_any(&self) -> bool {
+    pub fn holds_any_duty(&self) -> bool {
         !self.0.lock().expect("no holder panics").is_empty()
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Brings an adapter to a server; returns when it can be used.
-    pub async fn want_adapter(
+    pub async fn ensure_adapter(
         &self,
         cx: &Arc<NodeContext>,
         server: &Name,
@@ -114,7 +114,7 @@
     }
 
     /// Notes that requests wait for a model, and tells how long it will take.
-    pub fn want_model(
+    pub fn request_model(
         &self,
         cx: &NodeContext,
         service: &str,
@@ -201,7 +201,7 @@
 
 impl DomainController {
     /// Returns what the desk knows of its engines, for the status page.
-    pub fn engines(&self) -> Vec<(Name, EngineLedger, Option<Move>)> {
+    pub fn engine_states(&self) -> Vec<(Name, EngineLedger, Option<Move>)> {
         let engines = self.engines.lock().expect("no holder panics");
         let known = engines.iter();
         known.map(|(id, engine)| (id.clone(), engine.ledger().clone(), engine.moving())).collect()
--- a/savoryport/src/node/hub.rs
+++ b/savoryport/src/node/hub.rs
@@ -201,7 +201,7 @@
         };
         let mut reply = SyncReply {
             position: Position::default(),
-            is_holder: cx.controllers.holds(&cx.settings.failure_domain)
+            is_holder: cx.controllers.holds_duty(&cx.settings.failure_domain)
                 && cx.store_contact.is_good(now),
             is_full: false,
             servers: Vec::new(),
@@ -232,12 +232,12 @@
     }
 
     async fn want_adapter(self, _: Context, server: Name, model: Name, adapter: Name) -> WishReply {
-        self.cx.controllers.want_adapter(&self.cx, &server, &model, &adapter).await
+        self.cx.controllers.ensure_adapter(&self.cx, &server, &model, &adapter).await
     }
 
     async fn want_model(self, _: Context, service: Name, model: Name) -> WishReply {
         let domain = &self.cx.settings.failure_domain;
-        self.cx.controllers.want_model(&self.cx, &service, &model, domain)
+        self.cx.controllers.request_model(&self.cx, &service, &model, domain)
     }
 }
 
--- a/savoryport/src/node/status.rs
+++ b/savoryport/src/node/status.rs
@@ -44,7 +44,7 @@
 }
 
 fn duty(cx: &NodeContext, controller: &DomainController) -> Value {
-    let engines = controller.engines().into_iter().map(|(server, ledger, moving)| {
+    let engines = controller.engine_states().into_iter().map(|(server, ledger, moving)| {
         json!({
             "server": server,
             "models": ledger.models().collect::<Vec<_>>(),
