--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -14,8 +14,8 @@
 use super::boards::SharedBoards;
 use super::domain_controller::DomainControllers;
 use super::fleet::Fleet;
-use super::hub::Hub;
 use super::metrics::NodeMetrics;
+use super::peer_server::PeerReports;
 use super::peers::Peers;
 use super::reader::StoreContact;
 use super::rpc::CopyUse;
@@ -41,7 +41,7 @@
     /// What is counted while requests run.
     pub boards: SharedBoards,
     /// What other nodes told this one.
-    pub hub: Hub,
+    pub peer_reports: PeerReports,
     /// When the store was last heard.
     pub store_contact: StoreContact,
     /// This node as others know it.
@@ -74,7 +74,7 @@
     pub fn copies_in_domain(&self, domain: &str) -> Vec<CopyUse> {
         let view = self.fleet.view();
         let mut uses = self.boards.lock().copies_in_use();
-        uses.extend(self.hub.follower_copies());
+        uses.extend(self.peer_reports.follower_copies());
         uses.retain(|usage| {
             let server = view.servers.get(&usage.server);
             server.is_some_and(|server| &*server.failure_domain == domain)
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -17,9 +17,9 @@
 pub mod events;
 pub mod fleet;
 mod flight;
-mod hub;
 mod intake;
 mod metrics;
+mod peer_server;
 mod peers;
 mod planner;
 pub mod prompts;
@@ -55,8 +55,8 @@
 use self::context::NodeContext;
 use self::domain_controller::DomainControllers;
 use self::fleet::Fleet;
-use self::hub::Hub;
 use self::metrics::NodeMetrics;
+use self::peer_server::PeerReports;
 use self::peers::Peers;
 use self::reader::StoreContact;
 use self::settings::NodeSettings;
@@ -95,7 +95,7 @@
     let callers = callers::listen(cx.settings.callers_listen).await?;
     let directory = callers::listen(cx.settings.directory_listen).await?;
     let readiness = callers::listen(cx.settings.readiness_listen).await?;
-    hub::start(&cx).await?;
+    peer_server::start(&cx).await?;
     let metrics_listen = SocketAddr::new(cx.settings.ip_address, cx.settings.metrics_port);
     let told = cx.clone();
     let status = move || status::status(&told);
@@ -157,7 +157,7 @@
         order_pool: Pool::default(),
         fleet: Fleet::new(member.clone()),
         boards: SharedBoards::new(bound, ASSUMED_NODES, settings.selection_costs()),
-        hub: Hub::default(),
+        peer_reports: PeerReports::default(),
         store_contact: StoreContact::default(),
         tenure: tenure.max(1),
         member,
--- a/savoryport/src/node/hub.rs
+++ b/savoryport/src/node/peer_server.rs
@@ -27,10 +27,10 @@
 
 /// What other nodes told.
 #[derive(Debug, Default)]
-pub struct Hub(Mutex<HubState>);
+pub struct PeerReports(Mutex<ReportState>);
 
 #[derive(Debug, Default)]
-struct HubState {
+struct ReportState {
     followers: HashMap<Name, Told>,
     domains: HashMap<Name, Told>,
     work_ms: HashMap<Name, f64>,
@@ -51,8 +51,8 @@
     }
 }
 
-impl Hub {
-    fn lock(&self) -> MutexGuard<'_, HubState> {
+impl PeerReports {
+    fn lock(&self) -> MutexGuard<'_, ReportState> {
         self.0.lock().expect("no holder panics")
     }
 
@@ -150,7 +150,7 @@
     }
 }
 
-impl HubState {
+impl ReportState {
     fn add_work(&mut self, work_ms: &[(Name, f64)]) {
         for (model, ms) in work_ms {
             *self.work_ms.entry(model.clone()).or_default() += ms;
@@ -179,25 +179,27 @@
         };
         let mut loads = match req.role {
             Role::Follower => {
-                cx.hub.note_follower(&req, now);
+                cx.peer_reports.note_follower(&req, now);
                 note_prompts(cx, &req.prompts, now);
-                cx.hub.loads_but(Some(&req.member.vm), true, now)
+                cx.peer_reports.loads_but(Some(&req.member.vm), true, now)
             }
             Role::Holder => {
                 let loads = req.loads.clone();
                 let asking = &req.member.failure_domain;
-                cx.hub.note_domain(asking, loads, now);
-                cx.hub.note_domain_needs(&req, now);
-                cx.hub.loads_but(None, false, now)
+                cx.peer_reports.note_domain(asking, loads, now);
+                cx.peer_reports.note_domain_needs(&req, now);
+                cx.peer_reports.loads_but(None, false, now)
             }
         };
         add_loads(&mut loads, cx.boards.lock().loads.own());
         let (prompt_count, prompts) = match req.role {
-            Role::Follower => cx.hub.lock().prompts.since(req.have.prompts, &req.member.vm),
+            Role::Follower => {
+                cx.peer_reports.lock().prompts.since(req.have.prompts, &req.member.vm)
+            }
             Role::Holder if req.have.tenure == cx.tenure => {
-                cx.hub.lock().prompts.shared_since(req.have.prompts)
+                cx.peer_reports.lock().prompts.shared_since(req.have.prompts)
             }
-            Role::Holder => cx.hub.lock().prompts.shared_since(0),
+            Role::Holder => cx.peer_reports.lock().prompts.shared_since(0),
         };
         let mut reply = SyncReply {
             position: Position::default(),
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -71,7 +71,7 @@
         engine.ledger().clear_uses();
     }
     let own = cx.boards.lock().copies_in_use();
-    for usage in cx.hub.copies_in_use().into_iter().chain(own) {
+    for usage in cx.peer_reports.copies_in_use().into_iter().chain(own) {
         if let Some(engine) = engines.get(&usage.server) {
             let mut ledger = engine.ledger();
             let adapter = usage.adapter.as_deref();
@@ -91,7 +91,7 @@
     let now = cx.now();
     let mut planner = controller.planner.lock().expect("no holder panics");
     if controller.domain == cx.settings.failure_domain {
-        let work = cx.hub.take_work();
+        let work = cx.peer_reports.take_work();
         planner.demand.observe(&work, now);
     }
     planner.wishes.retain(|_, at| now.saturating_duration_since(*at) < WISH_LIFETIME);
@@ -255,7 +255,7 @@
         for model in servers.flat_map(|server| &server.models) {
             *copies.entry(model.name.clone()).or_default() += 1;
         }
-        Neighbour { demand: cx.hub.demand_of(&other, cx.now()), domain: other, copies }
+        Neighbour { demand: cx.peer_reports.demand_of(&other, cx.now()), domain: other, copies }
     })
     .collect()
 }
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 use super::context::NodeContext;
-use super::hub::{add_loads, note_prompts};
+use super::peer_server::{add_loads, note_prompts};
 use super::reader::accept_config;
 use super::rpc::{PeerError, Position, Role, SyncReply, SyncRequest};
 use super::view::{AcceptedConfig, DutyHolder};
@@ -167,8 +167,8 @@
         let work_ms: Vec<(Name, f64)> = boards.work_ms.drain().collect();
         (work_ms, std::mem::take(&mut boards.prompts))
     };
-    cx.hub.note_own(&cx.settings.vm, &work_ms, &prompts, now);
-    let others = cx.hub.loads_but(None, true, now);
+    cx.peer_reports.note_own(&cx.settings.vm, &work_ms, &prompts, now);
+    let others = cx.peer_reports.loads_but(None, true, now);
     let nodes = cx.fleet.view().members.len();
     let mut boards = cx.boards.lock();
     boards.loads.set_others(others);
@@ -240,7 +240,7 @@
     have: Position,
 ) -> Option<Position> {
     let now = cx.now();
-    let mut loads: HashMap<Name, ServerLoad> = cx.hub.loads_but(None, false, now);
+    let mut loads: HashMap<Name, ServerLoad> = cx.peer_reports.loads_but(None, false, now);
     add_loads(&mut loads, cx.boards.lock().loads.own());
     let req = SyncRequest {
         member: cx.member.clone(),
@@ -266,8 +266,8 @@
         }
     };
     fetch_config(cx, holder, &Arc::default(), reply.position.config);
-    cx.hub.note_domain(domain, reply.loads.clone(), cx.now());
-    cx.hub.note_domain_prompts(&reply.prompts);
+    cx.peer_reports.note_domain(domain, reply.loads.clone(), cx.now());
+    cx.peer_reports.note_domain_prompts(&reply.prompts);
     note_prompts(cx, &reply.prompts, cx.now());
     cx.fleet.update(|state| {
         for server in reply.servers.iter().filter(|server| server.failure_domain == *domain) {
