--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -17,9 +17,9 @@
 use super::metrics::NodeMetrics;
 use super::peer_server::PeerReports;
 use super::peers::Peers;
-use super::reader::StoreContact;
 use super::rpc::CopyUse;
 use super::settings::NodeSettings;
+use super::store_reader::StoreContact;
 use super::view::Member;
 
 /// Shared by all tasks of a node.
--- a/savoryport/src/node/duty.rs
+++ b/savoryport/src/node/duty.rs
@@ -10,7 +10,7 @@
 
 use super::context::NodeContext;
 use super::domain_controller::DomainController;
-use super::reader::duty_key;
+use super::store_reader::duty_key;
 use super::view::DutyHolder;
 
 /// The pause between two looks at the duties.
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! A node: one process a VM, which takes callers' requests and any duty that needs a holder.
 //!
 //! A request's way leads through `callers`, `intake`, `relay`, `dispatch`, `verdict` and
-//! `stream`; `reader`, `sync` and
+//! `stream`; `store_reader`, `sync` and
 //! `duty` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
 
 mod answer;
@@ -23,11 +23,11 @@
 mod peers;
 mod planner;
 pub mod prompts;
-pub mod reader;
 mod relay;
 pub mod rpc;
 pub mod settings;
 mod status;
+pub mod store_reader;
 mod stream;
 mod sync;
 mod verdict;
@@ -58,8 +58,8 @@
 use self::metrics::NodeMetrics;
 use self::peer_server::PeerReports;
 use self::peers::Peers;
-use self::reader::StoreContact;
 use self::settings::NodeSettings;
+use self::store_reader::StoreContact;
 use self::view::Member;
 
 /// A node that stops takes requests for this long: callers keep an address for up to three times the
@@ -109,7 +109,7 @@
         log::warn!(err:% = err; "no metrics page");
     }
     let (reads, reading) = watch::channel(true);
-    tokio::spawn(reader::run(cx.clone(), reading));
+    tokio::spawn(store_reader::run(cx.clone(), reading));
     tokio::spawn(sync::follow(cx.clone(), reads));
     tokio::spawn(sync::exchange(cx.clone()));
     tokio::spawn(directory::accept(cx.clone(), directory));
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -12,8 +12,8 @@
 
 use super::context::NodeContext;
 use super::peer_server::{add_loads, note_prompts};
-use super::reader::accept_config;
 use super::rpc::{PeerError, Position, Role, SyncReply, SyncRequest};
+use super::store_reader::accept_config;
 use super::view::{AcceptedConfig, DutyHolder};
 
 /// The time for one call of another node of the failure domain.
--- a/savoryport/tests/node_parts.rs
+++ b/savoryport/tests/node_parts.rs
@@ -6,9 +6,9 @@
 use savoryport::node::events::EventCutter;
 use savoryport::node::fleet::Fleet;
 use savoryport::node::prompts::PromptLog;
-use savoryport::node::reader::StoreContact;
 use savoryport::node::rpc::PromptRecord;
 use savoryport::node::settings::{NodeSettings, NodeSettingsError};
+use savoryport::node::store_reader::StoreContact;
 use savoryport::node::view::Member;
 
 fn member(vm: &str) -> Member {
