--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -19,7 +19,7 @@
 use super::peers::Peers;
 use super::rpc::CopyUse;
 use super::settings::NodeSettings;
-use super::store_reader::StoreContact;
+use super::store_reader::StoreHealth;
 use super::view::Member;
 
 /// Shared by all tasks of a node.
@@ -43,7 +43,7 @@
     /// What other nodes told this one.
     pub peer_reports: PeerReports,
     /// When the store was last heard.
-    pub store_contact: StoreContact,
+    pub store_health: StoreHealth,
     /// This node as others know it.
     pub member: Member,
     /// A number that differs between starts of the process.
--- a/savoryport/src/node/duty.rs
+++ b/savoryport/src/node/duty.rs
@@ -46,7 +46,7 @@
     let mut vacancies = Vacancies::default();
     while !cx.stopping.is_cancelled() {
         tokio::time::sleep(LOOK_PAUSE).await;
-        if !cx.store_contact.is_good(cx.now()) {
+        if !cx.store_health.is_available(cx.now()) {
             continue;
         }
         for domain in vacancies.open(&cx) {
@@ -149,7 +149,7 @@
         match cx.store.keep(controller.lease_id()).await {
             Ok(()) => {
                 controller.renewed(asked_at);
-                cx.store_contact.heard(cx.now());
+                cx.store_health.record_answer(cx.now());
             }
             Err(StoreError::LeaseEnded) => break,
             Err(err) => log::debug!(domain = &*controller.domain, err:% = err; "duty not renewed"),
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -59,7 +59,7 @@
 use self::peer_server::PeerReports;
 use self::peers::Peers;
 use self::settings::NodeSettings;
-use self::store_reader::StoreContact;
+use self::store_reader::StoreHealth;
 use self::view::Member;
 
 /// A node that stops takes requests for this long: callers keep an address for up to three times the
@@ -158,7 +158,7 @@
         fleet: Fleet::new(member.clone()),
         boards: SharedBoards::new(bound, ASSUMED_NODES, settings.selection_costs()),
         peer_reports: PeerReports::default(),
-        store_contact: StoreContact::default(),
+        store_health: StoreHealth::default(),
         tenure: tenure.max(1),
         member,
         peers: Peers::default(),
--- a/savoryport/src/node/peer_server.rs
+++ b/savoryport/src/node/peer_server.rs
@@ -204,7 +204,7 @@
         let mut reply = SyncReply {
             position: Position::default(),
             is_holder: cx.controllers.holds_duty(&cx.settings.failure_domain)
-                && cx.store_contact.is_good(now),
+                && cx.store_health.is_available(now),
             is_full: false,
             servers: Vec::new(),
             removed: Vec::new(),
--- a/savoryport/src/node/status.rs
+++ b/savoryport/src/node/status.rs
@@ -35,7 +35,7 @@
         "vm": cx.settings.vm,
         "failure_domain": cx.settings.failure_domain,
         "config": view.version(),
-        "store_answers": cx.store_contact.is_good(cx.now()),
+        "store_answers": cx.store_health.is_available(cx.now()),
         "members": members,
         "holders": view.holders,
         "servers": servers,
--- a/savoryport/src/node/store_reader.rs
+++ b/savoryport/src/node/store_reader.rs
@@ -33,19 +33,19 @@
 
 /// When the store was last heard, and when it was last found away.
 #[derive(Debug, Default)]
-pub struct StoreContact(Mutex<ContactTimes>);
+pub struct StoreHealth(Mutex<HealthTimes>);
 
 #[derive(Debug, Default, Clone, Copy)]
-struct ContactTimes {
+struct HealthTimes {
     heard: Option<Instant>,
     /// When the first call failed since the store was last heard.
     failing_since: Option<Instant>,
     outage_ended: Option<Instant>,
 }
 
-impl StoreContact {
+impl StoreHealth {
     /// Notes an answer; returns for how long there was none if the store was away.
-    pub fn heard(&self, now: Instant) -> Option<Duration> {
+    pub fn record_answer(&self, now: Instant) -> Option<Duration> {
         let mut times = self.0.lock().expect("no holder panics");
         // A node that follows a holder does not call, which is no silence of the store's.
         let failing = times.failing_since.take().map(|at| now.saturating_duration_since(at));
@@ -58,12 +58,12 @@
     }
 
     /// Notes a call without an answer.
-    pub fn failed(&self, now: Instant) {
+    pub fn record_failure(&self, now: Instant) {
         self.0.lock().expect("no holder panics").failing_since.get_or_insert(now);
     }
 
     /// Returns whether the store answers.
-    pub fn is_good(&self, now: Instant) -> bool {
+    pub fn is_available(&self, now: Instant) -> bool {
         let heard = self.0.lock().expect("no holder panics").heard;
         heard.is_some_and(|at| now.saturating_duration_since(at) <= AWAY_AFTER)
     }
@@ -102,7 +102,7 @@
                     log::warn!(err:% = err; "store lost");
                 }
                 cx.metrics.store_failures.inc();
-                cx.store_contact.failed(cx.now());
+                cx.store_health.record_failure(cx.now());
                 failures += 1;
                 tokio::time::sleep(pause(failures, cx.draw())).await;
             }
@@ -131,7 +131,7 @@
     let wait = Duration::from_millis(cx.settings.store_poll_ms);
     let changes = cx.store.watch("", after, wait).await?;
     note_contact(cx);
-    let recovering = cx.store_contact.is_recovering(cx.now());
+    let recovering = cx.store_health.is_recovering(cx.now());
     cx.fleet.update(|state| {
         for change in changes.changes {
             match change {
@@ -144,13 +144,13 @@
 }
 
 fn note_contact(cx: &NodeContext) {
-    if let Some(silence) = cx.store_contact.heard(cx.now()) {
+    if let Some(silence) = cx.store_health.record_answer(cx.now()) {
         log::info!(silent_ms = silence.as_millis() as u64; "store regained");
     }
 }
 
 fn apply_listing(cx: &NodeContext, listing: Listing) -> Revision {
-    let recovering = cx.store_contact.is_recovering(cx.now());
+    let recovering = cx.store_health.is_recovering(cx.now());
     cx.fleet.update(|state| {
         let servers = listing.items.iter().filter_map(|item| {
             let id = server_id(&item.key)?;
--- a/savoryport/tests/node_parts.rs
+++ b/savoryport/tests/node_parts.rs
@@ -8,7 +8,7 @@
 use savoryport::node::prompts::PromptLog;
 use savoryport::node::rpc::PromptRecord;
 use savoryport::node::settings::{NodeSettings, NodeSettingsError};
-use savoryport::node::store_reader::StoreContact;
+use savoryport::node::store_reader::StoreHealth;
 use savoryport::node::view::Member;
 
 fn member(vm: &str) -> Member {
@@ -81,16 +81,16 @@
 /// they had not called for an outage, and kept leaving servers two seconds longer.
 #[test]
 fn a_store_that_was_not_called_was_not_away() {
-    let (contact, now) = (StoreContact::default(), Instant::now());
+    let (health, now) = (StoreHealth::default(), Instant::now());
     let at = |ms| now + Duration::from_millis(ms);
-    assert_eq!(contact.heard(at(0)), None);
-    assert_eq!(contact.heard(at(28_000)), None);
-    assert!(!contact.is_recovering(at(28_000)));
-    contact.failed(at(29_000));
-    contact.failed(at(30_000));
-    assert_eq!(contact.heard(at(31_000)), Some(Duration::from_secs(2)));
-    assert!(contact.is_recovering(at(31_000)));
-    assert!(!contact.is_recovering(at(33_000)));
+    assert_eq!(health.record_answer(at(0)), None);
+    assert_eq!(health.record_answer(at(28_000)), None);
+    assert!(!health.is_recovering(at(28_000)));
+    health.record_failure(at(29_000));
+    health.record_failure(at(30_000));
+    assert_eq!(health.record_answer(at(31_000)), Some(Duration::from_secs(2)));
+    assert!(health.is_recovering(at(31_000)));
+    assert!(!health.is_recovering(at(33_000)));
 }
 
 /// A prompt with the shared beginning `key` and a part of its own.
