--- a/savoryport/src/node/directory.rs
+++ b/savoryport/src/node/directory.rs
@@ -19,7 +19,7 @@
 use tokio::net::TcpListener;
 
 use super::context::NodeContext;
-use super::view::View;
+use super::view::FleetView;
 
 /// How long callers may keep an answer. A node that stops keeps serving for longer than that.
 const KEEP_ANSWER: Duration = Duration::from_secs(1);
@@ -93,7 +93,7 @@
 
 /// Returns the nodes nearest to the caller: those of its failure domain, else of its region, else all.
 fn addresses(
-    view: &View,
+    view: &FleetView,
     question: &DirectoryQuestion,
     own: Option<SocketAddr>,
     cx: &NodeContext,
--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -16,7 +16,7 @@
 use super::planner::engine_domains;
 use super::relay::Relay;
 use super::rpc::WishReply;
-use super::view::View;
+use super::view::FleetView;
 
 /// The pause between two looks for a server with a place for an adapter.
 const PLACE_PAUSE: Duration = Duration::from_millis(60);
@@ -208,11 +208,14 @@
         Look::Picked(picked, choice.candidate.adapter_orders > 0)
     }
 
-    fn ready<'a>(&'a self, view: &'a View) -> impl Iterator<Item = &'a Arc<BackendServer>> {
+    fn ready<'a>(&'a self, view: &'a FleetView) -> impl Iterator<Item = &'a Arc<BackendServer>> {
         view.servers.values().filter(|server| server.service == self.service && server.is_ready())
     }
 
-    fn candidates<'a>(&'a self, view: &'a View) -> Vec<(Candidate<'a>, &'a Arc<BackendServer>)> {
+    fn candidates<'a>(
+        &'a self,
+        view: &'a FleetView,
+    ) -> Vec<(Candidate<'a>, &'a Arc<BackendServer>)> {
         let nodes = view.members.len().max(1) as u32;
         let service = self.deployment.services.get(&self.service);
         let limit = service.map_or(u32::MAX, |service| service.connection_limit);
--- a/savoryport/src/node/fleet.rs
+++ b/savoryport/src/node/fleet.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 use super::rpc::{Position, SyncReply};
-use super::view::{AcceptedConfig, DutyHolder, Member, View};
+use super::view::{AcceptedConfig, DutyHolder, FleetView, Member};
 
 /// A follower that has not told anything for this long is not named to callers any more.
 const FOLLOWER_TIMEOUT: Duration = Duration::from_millis(500);
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Fleet {
     state: Mutex<FleetState>,
-    views: watch::Sender<Arc<View>>,
+    views: watch::Sender<Arc<FleetView>>,
 }
 
 /// The beliefs themselves.
@@ -84,12 +84,12 @@
     }
 
     /// Returns the newest snapshot.
-    pub fn view(&self) -> Arc<View> {
+    pub fn view(&self) -> Arc<FleetView> {
         self.views.borrow().clone()
     }
 
     /// Returns a receiver of snapshots.
-    pub fn subscribe(&self) -> watch::Receiver<Arc<View>> {
+    pub fn subscribe(&self) -> watch::Receiver<Arc<FleetView>> {
         self.views.subscribe()
     }
 
@@ -307,7 +307,7 @@
         }
     }
 
-    fn publish(&mut self, last: &View) -> Option<View> {
+    fn publish(&mut self, last: &FleetView) -> Option<FleetView> {
         let servers_changed = self.merge_servers();
         let members = self.sorted_members();
         let config_changed = self.version() != last.version();
@@ -317,7 +317,7 @@
         }
         self.last_members.clone_from(&members);
         let servers = self.published.iter().map(|(id, (_, server))| (id.clone(), server.clone()));
-        Some(View {
+        Some(FleetView {
             config: self.config.clone(),
             servers: servers.collect(),
             members,
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -16,7 +16,7 @@
 use super::context::NodeContext;
 use super::domain_controller::DomainController;
 use super::engine::Command;
-use super::view::View;
+use super::view::FleetView;
 
 /// A wish for a model that nobody holds counts as demand for this long.
 const WISH_LIFETIME: Duration = Duration::from_millis(1_500);
@@ -83,7 +83,7 @@
 fn look(
     cx: &NodeContext,
     controller: &DomainController,
-    view: &View,
+    view: &FleetView,
     service: &Name,
     class: &EngineClass,
     servers: &[Arc<BackendServer>],
@@ -137,7 +137,7 @@
     /// Returns the models that nobody holds and this domain is to bring back.
     fn missing(
         &mut self,
-        view: &View,
+        view: &FleetView,
         service: &Name,
         class: &EngineClass,
         domain: &str,
@@ -243,7 +243,7 @@
 }
 
 /// Returns the other failure domains in the region of one, with their demand and copies.
-fn neighbours(cx: &NodeContext, view: &View, service: &Name, domain: &Name) -> Vec<Neighbour> {
+fn neighbours(cx: &NodeContext, view: &FleetView, service: &Name, domain: &Name) -> Vec<Neighbour> {
     let region = cx.settings.region_of(domain);
     let others = engine_domains(view, service).into_iter().filter(|other| other != domain);
     let near = others.filter(|other| region.is_some() && cx.settings.region_of(other) == region);
@@ -261,7 +261,7 @@
 }
 
 /// Returns the ready servers that hold each model.
-fn holders_by_model(view: &View, service: &str) -> HashMap<Name, Vec<Name>> {
+fn holders_by_model(view: &FleetView, service: &str) -> HashMap<Name, Vec<Name>> {
     let mut holders: HashMap<Name, Vec<Name>> = HashMap::new();
     let servers = view.servers.values().filter(|server| &*server.service == service);
     for server in servers.filter(|server| server.is_ready()) {
@@ -273,7 +273,7 @@
 }
 
 /// Returns the failure domains that have ready servers of a service.
-pub fn engine_domains(view: &View, service: &str) -> BTreeSet<Name> {
+pub fn engine_domains(view: &FleetView, service: &str) -> BTreeSet<Name> {
     let servers = view.servers.values().filter(|server| &*server.service == service);
     let ready = servers.filter(|server| server.is_ready());
     ready.map(|server| server.failure_domain.clone()).collect()
--- a/savoryport/src/node/view.rs
+++ b/savoryport/src/node/view.rs
@@ -80,7 +80,7 @@
 
 /// One snapshot.
 #[derive(Debug, Clone, Default)]
-pub struct View {
+pub struct FleetView {
     /// The configuration in force, once one is known.
     pub config: Option<AcceptedConfig>,
     /// Backend servers by id.
@@ -91,7 +91,7 @@
     pub holders: BTreeMap<Name, DutyHolder>,
 }
 
-impl View {
+impl FleetView {
     /// Returns the configuration in force.
     pub fn deployment(&self) -> Option<&Arc<Deployment>> {
         self.config.as_ref().map(|config| &config.deployment)
