--- a/savoryport/src/node/fleet.rs
+++ b/savoryport/src/node/fleet.rs
@@ -159,7 +159,7 @@
     }
 
     /// Notes that a member told something.
-    pub fn note_member(&mut self, member: Member, now: Instant) {
+    pub fn record_member(&mut self, member: Member, now: Instant) {
         let until = now + FOLLOWER_TIMEOUT;
         let known = self.members.insert(member.vm.clone(), (member.clone(), until));
         if known.is_none_or(|(known, _)| known != member) {
--- a/savoryport/src/node/peer_server.rs
+++ b/savoryport/src/node/peer_server.rs
@@ -217,7 +217,7 @@
                 if req.is_leaving {
                     state.remove_member(&req.member.vm);
                 } else {
-                    state.note_member(req.member.clone(), now);
+                    state.record_member(req.member.clone(), now);
                 }
                 state.expire_members(now);
             }
--- a/savoryport/tests/node_parts.rs
+++ b/savoryport/tests/node_parts.rs
@@ -70,7 +70,7 @@
 #[test]
 fn a_follower_that_falls_silent_is_not_named_any_more() {
     let (fleet, now) = (Fleet::new(member("own")), Instant::now());
-    fleet.update(|state| state.note_member(member("follower"), now));
+    fleet.update(|state| state.record_member(member("follower"), now));
     fleet.update(|state| state.expire_members(now + Duration::from_millis(400)));
     assert_eq!(fleet.view().members.len(), 2);
     fleet.update(|state| state.expire_members(now + Duration::from_millis(600)));
