--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -13,7 +13,7 @@
 use savoryport_core::node::selection::{Candidate, Demanded, Distance, choose};
 
 use super::answer::{Cause, Refusal};
-use super::planner::engine_domains;
+use super::planner::domains_with_ready_servers;
 use super::relay::Relay;
 use super::rpc::WishReply;
 use super::view::FleetView;
@@ -296,7 +296,7 @@
     /// Tells the order giver that a model is missing; returns when it will be there.
     async fn wish_for_model(&self, model: &Name) -> Option<Duration> {
         let cx = &self.cx;
-        let domains = engine_domains(&cx.fleet.view(), &self.service);
+        let domains = domains_with_ready_servers(&cx.fleet.view(), &self.service);
         let domain = owner(model, domains.iter()).unwrap_or(&cx.settings.failure_domain);
         let reply = if cx.controllers.holds_duty(domain) {
             cx.controllers.request_model(cx, &self.service, model, domain)
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -144,7 +144,7 @@
         holders: &HashMap<Name, Vec<Name>>,
         now: Instant,
     ) -> BTreeMap<Name, Missing> {
-        let domains = engine_domains(view, service);
+        let domains = domains_with_ready_servers(view, service);
         self.missing_since.retain(|model, _| !holders.contains_key(model));
         let mut missing = BTreeMap::new();
         for model in class.models.keys().filter(|model| !holders.contains_key(*model)) {
@@ -245,7 +245,8 @@
 /// Returns the other failure domains in the region of one, with their demand and copies.
 fn neighbours(cx: &NodeContext, view: &FleetView, service: &Name, domain: &Name) -> Vec<Neighbour> {
     let region = cx.settings.region_of(domain);
-    let others = engine_domains(view, service).into_iter().filter(|other| other != domain);
+    let others =
+        domains_with_ready_servers(view, service).into_iter().filter(|other| other != domain);
     let near = others.filter(|other| region.is_some() && cx.settings.region_of(other) == region);
     near.map(|other| {
         let servers = view.servers.values().filter(|server| {
@@ -273,7 +274,7 @@
 }
 
 /// Returns the failure domains that have ready servers of a service.
-pub fn engine_domains(view: &FleetView, service: &str) -> BTreeSet<Name> {
+pub fn domains_with_ready_servers(view: &FleetView, service: &str) -> BTreeSet<Name> {
     let servers = view.servers.values().filter(|server| &*server.service == service);
     let ready = servers.filter(|server| server.is_ready());
     ready.map(|server| server.failure_domain.clone()).collect()
