--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use node_site::{Ask, NodeSite, whole_stream};
+use node_site::{NodeSite, RequestKind, whole_stream};
 use rustix::process::Signal;
 use savoryport_standin::backend::BackendFault;
 use savoryport_standin::metadata::StoreMode;
@@ -13,12 +13,12 @@
 fn callers_get_whole_answers_with_the_servers_proof() {
     let site = NodeSite::start(2);
     for node in 0..2 {
-        let commit = site.get(node, &format!("c-{node}"), Ask::Commit);
+        let commit = site.send(node, &format!("c-{node}"), RequestKind::NonIdempotent);
         assert_eq!(commit.status, 200);
         assert_eq!(commit.body, Some(format!("answer to c-{node}")));
         assert!(commit.proof.is_some());
         let id = format!("d-{node}");
-        let draft = site.get(node, &id, Ask::Draft("m0"));
+        let draft = site.send(node, &id, RequestKind::Stream("m0"));
         assert_eq!((draft.status, draft.body), (200, Some(whole_stream(&id))));
     }
     assert!(site.runs().values().all(|count| *count == 1));
@@ -31,7 +31,7 @@
         ["m0/a1", "m0/a2", "m0/a3", "m0/a4", "m0/a5", "m1/a1", "m0/a1", "m2/a6"].iter().enumerate()
     {
         let id = format!("a-{number}");
-        let draft = site.get(number % 2, &id, Ask::Draft(model));
+        let draft = site.send(number % 2, &id, RequestKind::Stream(model));
         assert_eq!((draft.status, draft.body), (200, Some(whole_stream(&id))), "{model}");
     }
     assert!(site.servers.iter().all(|server| server.overcommitted() == 0));
@@ -43,12 +43,12 @@
     let site = NodeSite::start(1);
     site.server("plain-0").set_fault(BackendFault::Full);
     for number in 0..12 {
-        assert_eq!(site.get(0, &format!("l-{number}"), Ask::Lookup).status, 200);
+        assert_eq!(site.send(0, &format!("l-{number}"), RequestKind::Idempotent).status, 200);
     }
     for id in ["plain-1", "plain-2"] {
         site.server(id).set_fault(BackendFault::Full);
     }
-    let refused = site.get(0, "c-refused", Ask::Commit);
+    let refused = site.send(0, "c-refused", RequestKind::NonIdempotent);
     assert_eq!((refused.status, refused.proof), (503, None));
     assert!(refused.retry_after.is_some());
     assert_eq!(site.runs_of("c-refused"), 0);
@@ -62,7 +62,7 @@
             site.server(server).set_fault(fault);
         }
         let id = format!("once-{fault:?}");
-        let answer = site.get(0, &id, Ask::Commit);
+        let answer = site.send(0, &id, RequestKind::NonIdempotent);
         assert!([502, 504].contains(&answer.status), "{fault:?}: {answer:?}");
         assert_eq!((site.runs_of(&id), answer.proof), (1, None), "{fault:?}");
     }
@@ -74,7 +74,7 @@
     site.server("plain-0").set_fault(BackendFault::Crosses);
     for number in 0..12 {
         let id = format!("x-{number}");
-        let answer = site.get(0, &id, Ask::Lookup);
+        let answer = site.send(0, &id, RequestKind::Idempotent);
         if answer.status == 200 {
             assert_eq!(answer.body, Some(format!("answer to {id}")));
         }
@@ -86,7 +86,7 @@
     let site = NodeSite::start(1);
     site.server("plain-0").set_fault(BackendFault::Fails);
     for number in 0..12 {
-        assert_eq!(site.get(0, &format!("f-{number}"), Ask::Lookup).status, 200);
+        assert_eq!(site.send(0, &format!("f-{number}"), RequestKind::Idempotent).status, 200);
     }
 }
 
@@ -96,7 +96,7 @@
     site.server("engine-0").set_fault(BackendFault::BreaksStreams);
     for number in 0..6 {
         let id = format!("s-{number}");
-        let draft = site.get(0, &id, Ask::Draft("m0"));
+        let draft = site.send(0, &id, RequestKind::Stream("m0"));
         assert_eq!((draft.status, draft.body), (200, Some(whole_stream(&id))));
     }
 }
@@ -115,7 +115,7 @@
         let status = site.nodes[0].status();
         ["late-a", "late-b"].iter().all(|id| status.contains(id))
     });
-    let draft = site.get(0, "late", Ask::Draft("m3"));
+    let draft = site.send(0, "late", RequestKind::Stream("m3"));
     assert_eq!((draft.status, draft.body), (200, Some(whole_stream("late"))));
     assert_eq!(site.server("late-a").runs_of("late"), 1);
 }
@@ -135,7 +135,7 @@
 fn a_stream_is_not_cut_off_for_its_servers_silence_where_nobody_else_takes_it() {
     let pause = Duration::from_millis(2_000);
     let site = site_with_a_lone_engine(BackendFault::Stalls { before: 3, pause });
-    let draft = site.get(0, "silent", Ask::Draft("m3"));
+    let draft = site.send(0, "silent", RequestKind::Stream("m3"));
     assert_eq!((draft.status, draft.body), (200, Some(whole_stream("silent"))));
     assert_eq!(site.runs_of("silent"), 1);
 }
@@ -145,7 +145,7 @@
     // More than half of the route's time, after which a request may go elsewhere.
     let pause = Duration::from_millis(2_500);
     let site = site_with_a_lone_engine(BackendFault::Stalls { before: 1, pause });
-    let draft = site.get(0, "slow", Ask::Draft("m3"));
+    let draft = site.send(0, "slow", RequestKind::Stream("m3"));
     assert_eq!((draft.status, draft.body), (200, Some(whole_stream("slow"))));
     assert_eq!(site.runs_of("slow"), 1);
 }
@@ -160,7 +160,7 @@
     let in_force = format!("\"config\":{}", site.version);
     site.wait("the model is known", |site| site.nodes[0].status().contains(&in_force));
     let asked = Instant::now();
-    let draft = site.get(0, "waits", Ask::Draft("m3"));
+    let draft = site.send(0, "waits", RequestKind::Stream("m3"));
     assert_eq!((draft.status, draft.body), (200, Some(whole_stream("waits"))));
     assert!(asked.elapsed().as_secs_f64() >= LOAD_S);
 }
@@ -171,10 +171,12 @@
     /// wait for that.
     const ASKED_FOR: Duration = Duration::from_millis(2_500);
     let mut site = NodeSite::start(1);
-    assert_eq!(site.get(0, "before", Ask::Draft("m0")).status, 200);
+    assert_eq!(site.send(0, "before", RequestKind::Stream("m0")).status, 200);
     site.restart_engines();
     let restarted = Instant::now();
-    site.wait("the model is back", |site| site.get(0, "after", Ask::Draft("m0")).status == 200);
+    site.wait("the model is back", |site| {
+        site.send(0, "after", RequestKind::Stream("m0")).status == 200
+    });
     assert!(restarted.elapsed() < ASKED_FOR, "{:?}", restarted.elapsed());
     assert!(site.servers.iter().all(|server| server.overcommitted() == 0));
 }
@@ -189,8 +191,12 @@
         while Instant::now() < ends {
             number += 1;
             let id = format!("o-{mode:?}-{number}");
-            assert_eq!(site.get(number % 2, &id, Ask::Lookup).status, 200, "{mode:?}");
-            assert_eq!(site.get(number % 2, &id, Ask::Draft("m0")).status, 200, "{mode:?}");
+            assert_eq!(site.send(number % 2, &id, RequestKind::Idempotent).status, 200, "{mode:?}");
+            assert_eq!(
+                site.send(number % 2, &id, RequestKind::Stream("m0")).status,
+                200,
+                "{mode:?}"
+            );
         }
         site.store.set_mode(StoreMode::Up);
     }
@@ -227,7 +233,7 @@
     std::thread::sleep(Duration::from_millis(800));
     for number in 0..12 {
         let id = format!("g-{number}");
-        assert_eq!(site.get(number % 2, &id, Ask::Lookup).status, 200);
+        assert_eq!(site.send(number % 2, &id, RequestKind::Idempotent).status, 200);
         assert_eq!(site.server("plain-2").runs_of(&id), 1);
     }
 }
@@ -238,7 +244,7 @@
     site.store.write("servers/ghost", &serde_json::json!({ "service": 7 }));
     site.store.write("servers/ghost-2", &serde_json::json!("no entry at all"));
     std::thread::sleep(Duration::from_millis(400));
-    assert_eq!(site.get(0, "after-ghosts", Ask::Lookup).status, 200);
+    assert_eq!(site.send(0, "after-ghosts", RequestKind::Idempotent).status, 200);
 }
 
 #[test]
@@ -247,7 +253,7 @@
     site.wait("all are named", |site| site.nodes[0].addresses().len() == 3);
     let callers = site.nodes[2].callers.clone();
     std::thread::scope(|scope| {
-        let stream = scope.spawn(|| site.get(2, "last", Ask::Draft("m0")));
+        let stream = scope.spawn(|| site.send(2, "last", RequestKind::Stream("m0")));
         std::thread::sleep(Duration::from_millis(30));
         site.nodes[2].signal(Signal::TERM);
         let answer = stream.join().expect("the caller's thread ends");
@@ -266,7 +272,7 @@
 #[test]
 fn a_new_duty_holder_waits_until_the_orders_of_the_former_one_are_a_turn_ago() {
     let mut site = NodeSite::start(2);
-    assert_eq!(site.get(0, "first", Ask::Draft("m0/a1")).status, 200);
+    assert_eq!(site.send(0, "first", RequestKind::Stream("m0/a1")).status, 200);
     let orders = |site: &NodeSite| {
         let mut all: Vec<_> = site.servers.iter().flat_map(|server| server.orders()).collect();
         all.sort_by_key(|order| order.at);
@@ -279,12 +285,12 @@
     site.nodes[number].signal(Signal::STOP);
     site.wait("the other node gives orders", |site| {
         let id = format!("second-{}", orders(site).len());
-        site.get(other, &id, Ask::Draft("m0/a2")).status == 200
+        site.send(other, &id, RequestKind::Stream("m0/a2")).status == 200
             && orders(site).iter().any(|order| order.holder != former)
     });
     site.nodes[number].signal(Signal::CONT);
     for round in 0..5 {
-        let _ = site.get(number, &format!("third-{round}"), Ask::Draft("m0/a3"));
+        let _ = site.send(number, &format!("third-{round}"), RequestKind::Stream("m0/a3"));
     }
     let all = orders(&site);
     for pair in all.windows(2).filter(|pair| pair[0].holder != pair[1].holder) {
@@ -304,7 +310,7 @@
     std::thread::sleep(Duration::from_millis(2_500));
     site.store.set_mode(StoreMode::Up);
     site.wait("an adapter can be loaded again", |site| {
-        site.get(1, "after-loss", Ask::Draft("m0/a1")).status == 200
+        site.send(1, "after-loss", RequestKind::Stream("m0/a1")).status == 200
     });
     assert_eq!(site.duty_holders().len(), 1);
 }
--- a/savoryport/tests/node_site/mod.rs
+++ b/savoryport/tests/node_site/mod.rs
@@ -70,13 +70,13 @@
 
 /// What a caller asks.
 #[derive(Debug, Clone, Copy)]
-pub enum Ask {
+pub enum RequestKind {
     /// Not repeatable.
-    Commit,
+    NonIdempotent,
     /// Repeatable.
-    Lookup,
+    Idempotent,
     /// A stream that may go on elsewhere, of a model or an adapter.
-    Draft(&'static str),
+    Stream(&'static str),
 }
 
 impl NodeSite {
@@ -108,7 +108,9 @@
         site.wait("somebody holds the duty", |site| {
             !site.store.keys("savoryport/duty/").is_empty()
         });
-        site.wait("the servers are known", |site| site.get(0, "warm", Ask::Lookup).status == 200);
+        site.wait("the servers are known", |site| {
+            site.send(0, "warm", RequestKind::Idempotent).status == 200
+        });
         site
     }
 
@@ -260,8 +262,8 @@
     }
 
     /// Asks a node.
-    pub fn get(&self, node: usize, id: &str, ask: Ask) -> CallerAnswer {
-        self.nodes[node].ask(id, ask)
+    pub fn send(&self, node: usize, id: &str, kind: RequestKind) -> CallerAnswer {
+        self.nodes[node].send(id, kind)
     }
 
     /// Returns how often a request ran over all servers.
@@ -348,8 +350,8 @@
     }
 
     /// Asks the node as a caller.
-    pub fn ask(&self, id: &str, kind: Ask) -> CallerAnswer {
-        ask(&self.callers, id, kind)
+    pub fn send(&self, id: &str, kind: RequestKind) -> CallerAnswer {
+        send_request(&self.callers, id, kind)
     }
 }
 
@@ -363,23 +365,23 @@
 }
 
 /// Asks a node as a caller.
-pub fn ask(address: &str, id: &str, ask: Ask) -> CallerAnswer {
+pub fn send_request(address: &str, id: &str, kind: RequestKind) -> CallerAnswer {
     let agent = agent(Duration::from_secs(8));
     let url = |path: &str| format!("http://{}/{path}/{id}", address);
-    let sent = match ask {
-        Ask::Lookup => agent
+    let sent = match kind {
+        RequestKind::Idempotent => agent
             .get(url("lookup"))
             .header("Host", "site.example")
             .header("X-Attempt-Id", id)
             .header("X-Deadline-Ms", "4000")
             .call(),
-        Ask::Commit => agent
+        RequestKind::NonIdempotent => agent
             .post(url("commit"))
             .header("Host", "site.example")
             .header("X-Attempt-Id", id)
             .header("X-Deadline-Ms", "4000")
             .send("pay"),
-        Ask::Draft(model) => agent
+        RequestKind::Stream(model) => agent
             .post(url("draft"))
             .header("Host", "site.example")
             .header("X-Attempt-Id", id)
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use node_site::{Ask, NodeSite, TURN_MS, whole_stream};
+use node_site::{NodeSite, RequestKind, TURN_MS, whole_stream};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rustix::process::Signal;
@@ -37,7 +37,7 @@
 const RECOVERS_WITHIN: Duration = Duration::from_secs(8);
 
 /// What callers were told, by request.
-type Told = HashMap<String, (Ask, u16)>;
+type Told = HashMap<String, (RequestKind, u16)>;
 
 #[test]
 fn promises_hold_under_series_of_faults() {
@@ -70,12 +70,16 @@
                 let mut rng = SmallRng::seed_from_u64(seed * 1_000 + caller);
                 while !done.load(Ordering::Relaxed) {
                     let id = format!("r{seed}-{}", count.fetch_add(1, Ordering::Relaxed));
-                    let ask = [Ask::Commit, Ask::Lookup, Ask::Draft("m0"), Ask::Draft("m1/a1")]
-                        [rng.random_range(0..4)];
+                    let kind = [
+                        RequestKind::NonIdempotent,
+                        RequestKind::Idempotent,
+                        RequestKind::Stream("m0"),
+                        RequestKind::Stream("m1/a1"),
+                    ][rng.random_range(0..4)];
                     let (_, address) = &targets[rng.random_range(0..targets.len())];
-                    let answer = node_site::ask(address, &id, ask);
-                    check_answer(seed, &id, ask, &answer);
-                    told.lock().expect("no holder panics").insert(id, (ask, answer.status));
+                    let answer = node_site::send_request(address, &id, kind);
+                    check_answer(seed, &id, kind, &answer);
+                    told.lock().expect("no holder panics").insert(id, (kind, answer.status));
                 }
             });
         }
@@ -98,11 +102,13 @@
     for number in 0.. {
         let statuses: Vec<u16> = (0..3)
             .flat_map(|node| {
-                [Ask::Commit, Ask::Draft("m2/a3")].into_iter().enumerate().map(
-                    move |(kind, ask)| {
-                        site.get(node, &format!("after{seed}-{number}-{node}-{kind}"), ask).status
-                    },
-                )
+                [RequestKind::NonIdempotent, RequestKind::Stream("m2/a3")]
+                    .into_iter()
+                    .enumerate()
+                    .map(move |(index, kind)| {
+                        site.send(node, &format!("after{seed}-{number}-{node}-{index}"), kind)
+                            .status
+                    })
             })
             .collect();
         if statuses.iter().all(|status| *status == 200) {
@@ -178,16 +184,16 @@
 }
 
 /// A success is whole, proven and the caller's own; nothing else bears a proof of success.
-fn check_answer(seed: u64, id: &str, ask: Ask, answer: &node_site::CallerAnswer) {
+fn check_answer(seed: u64, id: &str, kind: RequestKind, answer: &node_site::CallerAnswer) {
     if answer.status != 200 {
         return;
     }
     assert!(answer.proof.is_some(), "seed {seed}: {id} has no proof");
     // A stream that broke off has no body for its caller; one that ends well is whole.
     let Some(body) = &answer.body else { return };
-    let owed = match ask {
-        Ask::Draft(_) => whole_stream(id),
-        Ask::Commit | Ask::Lookup => format!("answer to {id}"),
+    let owed = match kind {
+        RequestKind::Stream(_) => whole_stream(id),
+        RequestKind::NonIdempotent | RequestKind::Idempotent => format!("answer to {id}"),
     };
     assert_eq!(*body, owed, "seed {seed}: {id}");
 }
@@ -195,9 +201,9 @@
 /// What may not repeat ran once at most, and not at all where the caller was told so.
 fn check_runs(seed: u64, site: &NodeSite, told: &Told) {
     let runs = site.runs();
-    for (id, (ask, status)) in told {
+    for (id, (kind, status)) in told {
         let ran = runs.get(id).copied().unwrap_or(0);
-        if matches!(ask, Ask::Commit) {
+        if matches!(kind, RequestKind::NonIdempotent) {
             assert!(ran <= 1, "seed {seed}: {id} ran {ran} times");
             let promised = [408, 421, 429, 503].contains(status);
             assert!(!promised || ran == 0, "seed {seed}: {id} ran after {status}");
