--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -16,7 +16,7 @@
         let commit = site.send(node, &format!("c-{node}"), RequestKind::NonIdempotent);
         assert_eq!(commit.status, 200);
         assert_eq!(commit.body, Some(format!("answer to c-{node}")));
-        assert!(commit.proof.is_some());
+        assert!(commit.server_stamp.is_some());
         let id = format!("d-{node}");
         let draft = site.send(node, &id, RequestKind::Stream("m0"));
         assert_eq!((draft.status, draft.body), (200, Some(whole_stream(&id))));
@@ -49,7 +49,7 @@
         site.server(id).set_fault(BackendFault::Full);
     }
     let refused = site.send(0, "c-refused", RequestKind::NonIdempotent);
-    assert_eq!((refused.status, refused.proof), (503, None));
+    assert_eq!((refused.status, refused.server_stamp), (503, None));
     assert!(refused.retry_after.is_some());
     assert_eq!(site.runs_of("c-refused"), 0);
 }
@@ -64,7 +64,7 @@
         let id = format!("once-{fault:?}");
         let answer = site.send(0, &id, RequestKind::NonIdempotent);
         assert!([502, 504].contains(&answer.status), "{fault:?}: {answer:?}");
-        assert_eq!((site.runs_of(&id), answer.proof), (1, None), "{fault:?}");
+        assert_eq!((site.runs_of(&id), answer.server_stamp), (1, None), "{fault:?}");
     }
 }
 
--- a/savoryport/tests/node_site/mod.rs
+++ b/savoryport/tests/node_site/mod.rs
@@ -59,10 +59,10 @@
 
 /// An answer as a caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CallerAnswer {
+pub struct CallerResponse {
     pub status: u16,
     /// The server's proof, if the answer has one.
-    pub proof: Option<String>,
+    pub server_stamp: Option<String>,
     pub retry_after: Option<String>,
     /// The body, or nothing where it broke off.
     pub body: Option<String>,
@@ -262,7 +262,7 @@
     }
 
     /// Asks a node.
-    pub fn send(&self, node: usize, id: &str, kind: RequestKind) -> CallerAnswer {
+    pub fn send(&self, node: usize, id: &str, kind: RequestKind) -> CallerResponse {
         self.nodes[node].send(id, kind)
     }
 
@@ -350,7 +350,7 @@
     }
 
     /// Asks the node as a caller.
-    pub fn send(&self, id: &str, kind: RequestKind) -> CallerAnswer {
+    pub fn send(&self, id: &str, kind: RequestKind) -> CallerResponse {
         send_request(&self.callers, id, kind)
     }
 }
@@ -365,7 +365,7 @@
 }
 
 /// Asks a node as a caller.
-pub fn send_request(address: &str, id: &str, kind: RequestKind) -> CallerAnswer {
+pub fn send_request(address: &str, id: &str, kind: RequestKind) -> CallerResponse {
     let agent = agent(Duration::from_secs(8));
     let url = |path: &str| format!("http://{}/{path}/{id}", address);
     let sent = match kind {
@@ -393,15 +393,15 @@
             .send("draft"),
     };
     let Ok(mut res) = sent else {
-        return CallerAnswer { status: 0, proof: None, retry_after: None, body: None };
+        return CallerResponse { status: 0, server_stamp: None, retry_after: None, body: None };
     };
     let header = |name: &str| {
         res.headers().get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
     };
-    let (proof, retry_after) = (header("x-server-stamp"), header("retry-after"));
-    CallerAnswer {
+    let (server_stamp, retry_after) = (header("x-server-stamp"), header("retry-after"));
+    CallerResponse {
         status: res.status().as_u16(),
-        proof,
+        server_stamp,
         retry_after,
         body: res.body_mut().read_to_string().ok(),
     }
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -184,11 +184,11 @@
 }
 
 /// A success is whole, proven and the caller's own; nothing else bears a proof of success.
-fn check_answer(seed: u64, id: &str, kind: RequestKind, answer: &node_site::CallerAnswer) {
+fn check_answer(seed: u64, id: &str, kind: RequestKind, answer: &node_site::CallerResponse) {
     if answer.status != 200 {
         return;
     }
-    assert!(answer.proof.is_some(), "seed {seed}: {id} has no proof");
+    assert!(answer.server_stamp.is_some(), "seed {seed}: {id} has no proof");
     // A stream that broke off has no body for its caller; one that ends well is whole.
     let Some(body) = &answer.body else { return };
     let owed = match kind {
