--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use node_site::{NodeSite, RequestKind, whole_stream};
+use node_site::{NodeSite, RequestKind, expected_stream};
 use rustix::process::Signal;
 use savoryport_standin::backend::BackendFault;
 use savoryport_standin::metadata::StoreMode;
@@ -19,7 +19,7 @@
         assert!(commit.server_stamp.is_some());
         let id = format!("d-{node}");
         let draft = site.send(node, &id, RequestKind::Stream("m0"));
-        assert_eq!((draft.status, draft.body), (200, Some(whole_stream(&id))));
+        assert_eq!((draft.status, draft.body), (200, Some(expected_stream(&id))));
     }
     assert!(site.runs().values().all(|count| *count == 1));
 }
@@ -32,7 +32,7 @@
     {
         let id = format!("a-{number}");
         let draft = site.send(number % 2, &id, RequestKind::Stream(model));
-        assert_eq!((draft.status, draft.body), (200, Some(whole_stream(&id))), "{model}");
+        assert_eq!((draft.status, draft.body), (200, Some(expected_stream(&id))), "{model}");
     }
     assert!(site.servers.iter().all(|server| server.overcommitted() == 0));
     assert!(site.servers.iter().any(|server| !server.orders().is_empty()));
@@ -97,7 +97,7 @@
     for number in 0..6 {
         let id = format!("s-{number}");
         let draft = site.send(0, &id, RequestKind::Stream("m0"));
-        assert_eq!((draft.status, draft.body), (200, Some(whole_stream(&id))));
+        assert_eq!((draft.status, draft.body), (200, Some(expected_stream(&id))));
     }
 }
 
@@ -107,16 +107,16 @@
     site.models.push(("m3", 0.4));
     // The first of the two is asked, since neither has anything to do. Its third event would come after
     // 1.2 s, more than twice the target of the first event.
-    site.add_paced_server("late-a", "drafts", &["m3"], Duration::from_millis(400));
+    site.add_server_with_interval("late-a", "drafts", &["m3"], Duration::from_millis(400));
     site.server("late-a").set_fault(BackendFault::BreaksStreams);
     site.add_server("late-b", "drafts", &["m3"]);
     site.write_config();
-    site.wait("both servers are known", |site| {
+    site.wait_until("both servers are known", |site| {
         let status = site.nodes[0].status();
         ["late-a", "late-b"].iter().all(|id| status.contains(id))
     });
     let draft = site.send(0, "late", RequestKind::Stream("m3"));
-    assert_eq!((draft.status, draft.body), (200, Some(whole_stream("late"))));
+    assert_eq!((draft.status, draft.body), (200, Some(expected_stream("late"))));
     assert_eq!(site.server("late-a").runs_of("late"), 1);
 }
 
@@ -127,7 +127,7 @@
     site.add_server("lone", "drafts", &["m3"]);
     site.server("lone").set_fault(fault);
     site.write_config();
-    site.wait("the engine is known", |site| site.nodes[0].status().contains("lone"));
+    site.wait_until("the engine is known", |site| site.nodes[0].status().contains("lone"));
     site
 }
 
@@ -136,7 +136,7 @@
     let pause = Duration::from_millis(2_000);
     let site = site_with_a_lone_engine(BackendFault::Stalls { before: 3, pause });
     let draft = site.send(0, "silent", RequestKind::Stream("m3"));
-    assert_eq!((draft.status, draft.body), (200, Some(whole_stream("silent"))));
+    assert_eq!((draft.status, draft.body), (200, Some(expected_stream("silent"))));
     assert_eq!(site.runs_of("silent"), 1);
 }
 
@@ -146,7 +146,7 @@
     let pause = Duration::from_millis(2_500);
     let site = site_with_a_lone_engine(BackendFault::Stalls { before: 1, pause });
     let draft = site.send(0, "slow", RequestKind::Stream("m3"));
-    assert_eq!((draft.status, draft.body), (200, Some(whole_stream("slow"))));
+    assert_eq!((draft.status, draft.body), (200, Some(expected_stream("slow"))));
     assert_eq!(site.runs_of("slow"), 1);
 }
 
@@ -157,11 +157,11 @@
     let mut site = NodeSite::start(1);
     site.models.push(("m3", LOAD_S));
     site.write_config();
-    let in_force = format!("\"config\":{}", site.version);
-    site.wait("the model is known", |site| site.nodes[0].status().contains(&in_force));
+    let in_force = format!("\"config\":{}", site.config_version);
+    site.wait_until("the model is known", |site| site.nodes[0].status().contains(&in_force));
     let asked = Instant::now();
     let draft = site.send(0, "waits", RequestKind::Stream("m3"));
-    assert_eq!((draft.status, draft.body), (200, Some(whole_stream("waits"))));
+    assert_eq!((draft.status, draft.body), (200, Some(expected_stream("waits"))));
     assert!(asked.elapsed().as_secs_f64() >= LOAD_S);
 }
 
@@ -174,7 +174,7 @@
     assert_eq!(site.send(0, "before", RequestKind::Stream("m0")).status, 200);
     site.restart_engines();
     let restarted = Instant::now();
-    site.wait("the model is back", |site| {
+    site.wait_until("the model is back", |site| {
         site.send(0, "after", RequestKind::Stream("m0")).status == 200
     });
     assert!(restarted.elapsed() < ASKED_FOR, "{:?}", restarted.elapsed());
@@ -207,10 +207,10 @@
     let mut site = NodeSite::start(3);
     for _ in 0..3 {
         site.write_config();
-        if site.version == 3 {
+        if site.config_version == 3 {
             site.store.compact();
         }
-        let newest = format!("v{}", site.version);
+        let newest = format!("v{}", site.config_version);
         let in_force = |site: &NodeSite, node: usize| {
             let answer = ureq::get(format!("http://{}/{newest}/x", site.nodes[node].callers))
                 .header("Host", "site.example")
@@ -219,7 +219,7 @@
             answer.is_ok_and(|answer| answer.status() == 200)
         };
         for node in 0..3 {
-            site.wait("the newest route is served", |site| in_force(site, node));
+            site.wait_until("the newest route is served", |site| in_force(site, node));
         }
         assert!((0..3).all(|node| in_force(&site, node)));
     }
@@ -250,22 +250,22 @@
 #[test]
 fn a_stopping_node_leaves_the_directory_answers_and_finishes_its_streams() {
     let mut site = NodeSite::start(3);
-    site.wait("all are named", |site| site.nodes[0].addresses().len() == 3);
+    site.wait_until("all are named", |site| site.nodes[0].addresses().len() == 3);
     let callers = site.nodes[2].callers.clone();
     std::thread::scope(|scope| {
         let stream = scope.spawn(|| site.send(2, "last", RequestKind::Stream("m0")));
         std::thread::sleep(Duration::from_millis(30));
         site.nodes[2].signal(Signal::TERM);
         let answer = stream.join().expect("the caller's thread ends");
-        assert_eq!(answer.body, Some(whole_stream("last")));
+        assert_eq!(answer.body, Some(expected_stream("last")));
     });
-    site.wait("it is named no more", |site| {
+    site.wait_until("it is named no more", |site| {
         (0..2).all(|node| {
             let named = site.nodes[node].addresses();
             !named.is_empty() && !named.contains(&callers)
         })
     });
-    let ended = site.nodes[2].wait();
+    let ended = site.nodes[2].wait_for_exit();
     assert!(ended.is_some_and(|status| status.success()));
 }
 
@@ -283,7 +283,7 @@
     let other = 1 - number;
     // It stands still past its lease, and wakes while the other one gives orders.
     site.nodes[number].signal(Signal::STOP);
-    site.wait("the other node gives orders", |site| {
+    site.wait_until("the other node gives orders", |site| {
         let id = format!("second-{}", orders(site).len());
         site.send(other, &id, RequestKind::Stream("m0/a2")).status == 200
             && orders(site).iter().any(|order| order.holder != former)
@@ -294,11 +294,11 @@
     }
     let all = orders(&site);
     for pair in all.windows(2).filter(|pair| pair[0].holder != pair[1].holder) {
-        assert!(pair[1].at - pair[0].at >= Duration::from_millis(node_site::TURN_MS));
+        assert!(pair[1].at - pair[0].at >= Duration::from_millis(node_site::ORDER_TURN_MS));
         assert!(pair[1].fencing_token > pair[0].fencing_token);
     }
     site.nodes[number].signal(Signal::KILL);
-    let _ = site.nodes[number].wait();
+    let _ = site.nodes[number].wait_for_exit();
 }
 
 #[test]
@@ -306,13 +306,13 @@
     let mut site = NodeSite::start(2);
     site.store.set_mode(StoreMode::LosesAnswers);
     site.nodes[0].signal(Signal::KILL);
-    let _ = site.nodes[0].wait();
+    let _ = site.nodes[0].wait_for_exit();
     std::thread::sleep(Duration::from_millis(2_500));
     site.store.set_mode(StoreMode::Up);
-    site.wait("an adapter can be loaded again", |site| {
+    site.wait_until("an adapter can be loaded again", |site| {
         site.send(1, "after-loss", RequestKind::Stream("m0/a1")).status == 200
     });
-    assert_eq!(site.duty_holders().len(), 1);
+    assert_eq!(site.duty_keys().len(), 1);
 }
 
 #[test]
--- a/savoryport/tests/node_site/mod.rs
+++ b/savoryport/tests/node_site/mod.rs
@@ -26,7 +26,7 @@
 const POLL: Duration = Duration::from_millis(20);
 
 /// The lease that the site's settings and the rules of turns use, in milliseconds.
-pub const TURN_MS: u64 = 1_500;
+pub const ORDER_TURN_MS: u64 = 1_500;
 
 /// One node.
 pub struct SiteNode {
@@ -36,9 +36,9 @@
     settings: Value,
     settings_file: PathBuf,
     process: Option<Child>,
-    pub lines: Arc<Mutex<Vec<String>>>,
+    pub log_lines: Arc<Mutex<Vec<String>>>,
     /// Stands between the node and the store.
-    pub store_path: Proxy,
+    pub store_proxy: Proxy,
 }
 
 /// The models that engines start with, and the seconds that a load of each takes.
@@ -49,7 +49,7 @@
     pub store: MetadataStandin,
     pub servers: Vec<BackendStandin>,
     pub nodes: Vec<SiteNode>,
-    pub version: u64,
+    pub config_version: u64,
     /// Models of the engines, with the seconds that a load takes.
     pub models: Vec<(&'static str, f64)>,
     /// Servers that were started, which tells their incarnations apart.
@@ -88,7 +88,7 @@
             store,
             servers: Vec::new(),
             nodes: Vec::new(),
-            version: 1,
+            config_version: 1,
             models: MODELS.to_vec(),
             starts: 0,
             _dir: dir,
@@ -104,11 +104,11 @@
         for number in 0..nodes {
             site.add_node(&format!("vm-{number}"));
         }
-        site.wait("every node is ready", |site| site.nodes.iter().all(SiteNode::is_ready));
-        site.wait("somebody holds the duty", |site| {
+        site.wait_until("every node is ready", |site| site.nodes.iter().all(SiteNode::is_ready));
+        site.wait_until("somebody holds the duty", |site| {
             !site.store.keys("savoryport/duty/").is_empty()
         });
-        site.wait("the servers are known", |site| {
+        site.wait_until("the servers are known", |site| {
             site.send(0, "warm", RequestKind::Idempotent).status == 200
         });
         site
@@ -116,7 +116,7 @@
 
     /// Writes the next version of the configuration.
     pub fn write_config(&mut self) {
-        self.version += 1;
+        self.config_version += 1;
         let route = |name: &str, path: &str, kind: &str, service: &str| {
             json!({
                 "name": name, "host": "site.example", "pathPrefix": path, "kind": kind,
@@ -133,12 +133,12 @@
         };
         let models: Vec<_> = self.models.iter().map(model).collect();
         let config = json!({
-            "version": self.version,
+            "version": self.config_version,
             "routes": [
                 route("commit", "/commit/", "non_idempotent", "orders"),
                 route("lookup", "/lookup/", "idempotent", "orders"),
                 route("draft", "/draft/", "streaming", "drafts"),
-                route("newest", &format!("/v{}/", self.version), "idempotent", "orders"),
+                route("newest", &format!("/v{}/", self.config_version), "idempotent", "orders"),
             ],
             "services": [
                 { "name": "orders", "healthPath": "/health", "connectionLimit": 100 },
@@ -159,11 +159,17 @@
 
     /// Starts a server.
     pub fn add_server(&mut self, id: &str, service: &str, models: &[&str]) {
-        self.add_paced_server(id, service, models, Duration::from_millis(10));
+        self.add_server_with_interval(id, service, models, Duration::from_millis(10));
     }
 
     /// Starts a server that sends the events of a stream at this pace.
-    pub fn add_paced_server(&mut self, id: &str, service: &str, models: &[&str], pace: Duration) {
+    pub fn add_server_with_interval(
+        &mut self,
+        id: &str,
+        service: &str,
+        models: &[&str],
+        pace: Duration,
+    ) {
         let config = BackendConfig {
             id: id.to_owned(),
             service: service.to_owned(),
@@ -199,7 +205,7 @@
 
     /// Starts a node.
     pub fn add_node(&mut self, name: &str) {
-        let store_path = Proxy::start("127.0.0.1:0", self.store.address());
+        let store_proxy = Proxy::start("127.0.0.1:0", self.store.address());
         let (callers, directory) = (free_address(), free_address());
         let port = || {
             let address = free_address();
@@ -211,8 +217,8 @@
             "callers_listen": callers, "directory_listen": directory,
             "readiness_listen": free_address(),
             "peers_port": port(), "metrics_port": port(),
-            "store": store_path.address(), "first_start": true,
-            "order_turn_ms": TURN_MS, "min_lease_ms": 500,
+            "store": store_proxy.address(), "first_start": true,
+            "order_turn_ms": ORDER_TURN_MS, "min_lease_ms": 500,
             "store_poll_ms": 100, "store_timeout_ms": 400, "stop_within_s": 5.0,
             "retry_extra": 60.0, "log_level": "info",
         });
@@ -224,8 +230,8 @@
             settings,
             settings_file: file,
             process: None,
-            lines: Arc::default(),
-            store_path,
+            log_lines: Arc::default(),
+            store_proxy,
         };
         node.start();
         self.nodes.push(node);
@@ -236,11 +242,11 @@
     /// # Panics
     ///
     /// Panics with the nodes' last lines where it does not come.
-    pub fn wait(&self, what: &str, condition: impl Fn(&Self) -> bool) {
+    pub fn wait_until(&self, what: &str, condition: impl Fn(&Self) -> bool) {
         let ends = Instant::now() + START_LIMIT;
         while !condition(self) {
             if Instant::now() > ends {
-                self.print_last_lines(10);
+                self.print_last_log_lines(10);
                 panic!("did not come: {what}");
             }
             std::thread::sleep(POLL);
@@ -248,9 +254,9 @@
     }
 
     /// Prints the last lines of every node, but for those that end requests.
-    pub fn print_last_lines(&self, count: usize) {
+    pub fn print_last_log_lines(&self, count: usize) {
         for node in &self.nodes {
-            let lines = node.lines.lock().expect("no holder panics");
+            let lines = node.log_lines.lock().expect("no holder panics");
             let lines: Vec<&str> = lines
                 .iter()
                 .map(String::as_str)
@@ -281,7 +287,7 @@
     }
 
     /// Returns the VM that holds the duty, by the servers' account of who ordered last.
-    pub fn duty_holders(&self) -> Vec<String> {
+    pub fn duty_keys(&self) -> Vec<String> {
         self.store.keys("savoryport/duty/")
     }
 }
@@ -299,7 +305,7 @@
             .spawn()
             .expect("the program starts");
         let out = child.stdout.take().expect("standard output is piped");
-        let lines = self.lines.clone();
+        let lines = self.log_lines.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(out).lines().map_while(Result::ok) {
                 lines.lock().expect("no holder panics").push(line);
@@ -317,7 +323,7 @@
     }
 
     /// Waits for the process to end.
-    pub fn wait(&mut self) -> Option<ExitStatus> {
+    pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         self.process.take().and_then(|mut process| process.wait().ok())
     }
 
@@ -417,6 +423,6 @@
 }
 
 /// Returns the whole stream that a caller is owed.
-pub fn whole_stream(id: &str) -> String {
+pub fn expected_stream(id: &str) -> String {
     (1..=8).map(|event| format!("id: {event}\ndata: event {event} of {id}\n\n")).collect()
 }
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use node_site::{NodeSite, RequestKind, TURN_MS, whole_stream};
+use node_site::{NodeSite, ORDER_TURN_MS, RequestKind, expected_stream};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rustix::process::Signal;
@@ -115,7 +115,7 @@
             return;
         }
         if Instant::now() > ends {
-            site.print_last_lines(60);
+            site.print_last_log_lines(60);
             panic!("seed {seed}: not served after the faults: {statuses:?}");
         }
     }
@@ -128,12 +128,12 @@
     match rng.random_range(0..9) {
         0 => {
             site.nodes[node].signal(Signal::KILL);
-            let _ = site.nodes[node].wait();
+            let _ = site.nodes[node].wait_for_exit();
             site.nodes[node].start();
         }
         1 => {
             site.nodes[node].signal(Signal::TERM);
-            let ended = site.nodes[node].wait();
+            let ended = site.nodes[node].wait_for_exit();
             assert!(ended.is_some_and(|status| status.success()), "a stop fails");
             site.nodes[node].start();
         }
@@ -154,7 +154,7 @@
                 delay: Duration::from_millis(rng.random_range(0..300)),
                 ..Faults::default()
             };
-            site.nodes[node].store_path.set_faults(|present| *present = faults);
+            site.nodes[node].store_proxy.set_faults(|present| *present = faults);
         }
         5 => {
             let faults = [
@@ -179,7 +179,7 @@
         server.set_fault(BackendFault::None);
     }
     for node in &site.nodes {
-        node.store_path.set_faults(|present| *present = Faults::default());
+        node.store_proxy.set_faults(|present| *present = Faults::default());
     }
 }
 
@@ -192,7 +192,7 @@
     // A stream that broke off has no body for its caller; one that ends well is whole.
     let Some(body) = &answer.body else { return };
     let owed = match kind {
-        RequestKind::Stream(_) => whole_stream(id),
+        RequestKind::Stream(_) => expected_stream(id),
         RequestKind::NonIdempotent | RequestKind::Idempotent => format!("answer to {id}"),
     };
     assert_eq!(*body, owed, "seed {seed}: {id}");
@@ -220,7 +220,7 @@
         assert_eq!(server.overcommitted(), 0, "seed {seed}: {}", server.id());
         for pair in server.orders().windows(2) {
             assert!(pair[1].fencing_token >= pair[0].fencing_token, "seed {seed}: token falls");
-            let apart = pair[1].at - pair[0].at >= Duration::from_millis(TURN_MS);
+            let apart = pair[1].at - pair[0].at >= Duration::from_millis(ORDER_TURN_MS);
             let same = pair[0].fencing_token == pair[1].fencing_token;
             assert!(same || pair[0].holder == pair[1].holder || apart, "seed {seed}: two holders");
         }
