--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A request's way leads through `callers`, `intake`, `relay`, `dispatch`, `verdict` and
 //! `stream`; `store_reader`, `sync` and
-//! `duty` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
+//! `leadership` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
 
 mod answer;
 mod boards;
@@ -12,12 +12,12 @@
 mod directory;
 mod dispatch;
 mod domain_controller;
-mod duty;
 mod engine;
 pub mod events;
 pub mod fleet;
 mod flight;
 mod intake;
+mod leadership;
 mod metrics;
 mod peer_server;
 mod peers;
@@ -115,7 +115,7 @@
     tokio::spawn(directory::accept(cx.clone(), directory));
     tokio::spawn(directory::accept(cx.clone(), readiness));
     tokio::spawn(callers::accept(cx.clone(), callers));
-    let duties = tokio::spawn(duty::run(cx.clone()));
+    let duties = tokio::spawn(leadership::run(cx.clone()));
     log::info!(vm = &*cx.settings.vm, domain = &*cx.settings.failure_domain; "started");
     cx.stopping.cancelled().await;
     stop(&cx, duties).await;
