--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -264,10 +264,10 @@
             return cx.controllers.ensure_adapter(cx, server, model, adapter).await
                 == WishReply::Ready;
         }
-        let holder = cx.fleet.read(|state| state.holder(&server.failure_domain).cloned());
-        let Some(holder) = holder else { return false };
+        let leader = cx.fleet.read(|state| state.leader(&server.failure_domain).cloned());
+        let Some(leader) = leader else { return false };
         let wish = async {
-            let connection = cx.peers.get(holder.peers).await?;
+            let connection = cx.peers.get(leader.peers).await?;
             connection.want_adapter(wanted, WISH_TIMEOUT).await
         };
         let within = WISH_TIMEOUT.min(self.left());
@@ -301,9 +301,9 @@
         let reply = if cx.controllers.holds_duty(domain) {
             cx.controllers.request_model(cx, &self.service, model, domain)
         } else {
-            let holder = cx.fleet.read(|state| state.holder(domain).cloned())?;
+            let leader = cx.fleet.read(|state| state.leader(domain).cloned())?;
             let wish = async {
-                let connection = cx.peers.get(holder.peers).await?;
+                let connection = cx.peers.get(leader.peers).await?;
                 connection.want_model((self.service.clone(), model.clone()), WISH_TIMEOUT).await
             };
             let within = WISH_TIMEOUT.min(self.left());
--- a/savoryport/src/node/fleet.rs
+++ b/savoryport/src/node/fleet.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 use super::rpc::{Position, SyncReply};
-use super::view::{AcceptedConfig, DutyHolder, FleetView, Member};
+use super::view::{AcceptedConfig, DomainLeader, FleetView, Member};
 
 /// A follower that has not told anything for this long is not named to callers any more.
 const FOLLOWER_TIMEOUT: Duration = Duration::from_millis(500);
@@ -57,7 +57,7 @@
     servers_revision: u64,
     /// Members with the time until which they count; this node is not among them.
     members: HashMap<Name, (Member, Instant)>,
-    holders: BTreeMap<Name, DutyHolder>,
+    leaders: BTreeMap<Name, DomainLeader>,
     members_revision: u64,
     last_members: Vec<Member>,
 }
@@ -75,7 +75,7 @@
             removals_from: 0,
             servers_revision: 0,
             members: HashMap::new(),
-            holders: BTreeMap::new(),
+            leaders: BTreeMap::new(),
             members_revision: 1,
             last_members: Vec::new(),
             own,
@@ -212,24 +212,24 @@
     }
 
     /// Takes who holds a duty, or that nobody does.
-    pub fn set_holder(&mut self, failure_domain: &Name, holder: Option<DutyHolder>) {
-        let before = match holder {
-            Some(holder) => self.holders.insert(failure_domain.clone(), holder),
-            None => self.holders.remove(failure_domain),
+    pub fn set_leader(&mut self, failure_domain: &Name, leader: Option<DomainLeader>) {
+        let before = match leader {
+            Some(leader) => self.leaders.insert(failure_domain.clone(), leader),
+            None => self.leaders.remove(failure_domain),
         };
-        if before.as_ref() != self.holders.get(failure_domain) {
+        if before.as_ref() != self.leaders.get(failure_domain) {
             self.members_revision += 1;
         }
     }
 
     /// Returns the holder of a duty.
-    pub fn holder(&self, failure_domain: &str) -> Option<&DutyHolder> {
-        self.holders.get(failure_domain)
+    pub fn leader(&self, failure_domain: &str) -> Option<&DomainLeader> {
+        self.leaders.get(failure_domain)
     }
 
     /// Returns every holder.
-    pub fn holders(&self) -> &BTreeMap<Name, DutyHolder> {
-        &self.holders
+    pub fn leaders(&self) -> &BTreeMap<Name, DomainLeader> {
+        &self.leaders
     }
 
     /// Returns the members of a failure domain, this node included.
@@ -267,9 +267,9 @@
                 Some(domain) => self.domain_members(domain),
                 None => self.all_members().cloned().collect(),
             };
-            let holders =
-                self.holders.iter().map(|(domain, holder)| (domain.clone(), holder.clone()));
-            reply.members = Some((members, holders.collect()));
+            let leaders =
+                self.leaders.iter().map(|(domain, leader)| (domain.clone(), leader.clone()));
+            reply.members = Some((members, leaders.collect()));
         }
         reply.position = Position {
             tenure,
@@ -311,7 +311,7 @@
         let servers_changed = self.merge_servers();
         let members = self.sorted_members();
         let config_changed = self.version() != last.version();
-        let members_changed = members != self.last_members || self.holders != last.holders;
+        let members_changed = members != self.last_members || self.leaders != last.leaders;
         if !servers_changed && !config_changed && !members_changed {
             return None;
         }
@@ -321,7 +321,7 @@
             config: self.config.clone(),
             servers: servers.collect(),
             members,
-            holders: self.holders.clone(),
+            leaders: self.leaders.clone(),
         })
     }
 
--- a/savoryport/src/node/leadership.rs
+++ b/savoryport/src/node/leadership.rs
@@ -11,7 +11,7 @@
 use super::context::NodeContext;
 use super::domain_controller::DomainController;
 use super::store_reader::duty_key;
-use super::view::DutyHolder;
+use super::view::DomainLeader;
 
 /// The pause between two looks at the duties.
 const LOOK_PAUSE: Duration = Duration::from_millis(100);
@@ -52,7 +52,7 @@
         for domain in vacancies.open(&cx) {
             let handicap = HANDICAP.div_f64(cx.settings.cpu_share.max(MIN_CPU_SHARE));
             tokio::time::sleep(handicap + TRY_SPREAD.mul_f64(cx.draw())).await;
-            if cx.fleet.read(|state| state.holder(&domain).is_some()) {
+            if cx.fleet.read(|state| state.leader(&domain).is_some()) {
                 continue;
             }
             vacancies.try_take(&cx, &domain).await;
@@ -77,9 +77,9 @@
             .map(|server| server.failure_domain.clone())
             .collect();
         domains.insert(own.clone());
-        self.held_before.extend(view.holders.keys().cloned());
-        self.since.retain(|domain, _| !view.holders.contains_key(domain));
-        let vacant = domains.into_iter().filter(|domain| !view.holders.contains_key(domain));
+        self.held_before.extend(view.leaders.keys().cloned());
+        self.since.retain(|domain, _| !view.leaders.contains_key(domain));
+        let vacant = domains.into_iter().filter(|domain| !view.leaders.contains_key(domain));
         vacant
             .filter(|domain| {
                 let since = *self.since.entry(domain.clone()).or_insert(now);
@@ -97,8 +97,8 @@
             Ok(lease) => lease,
             Err(err) => return log::warn!(err:% = err; "no lease for the duty"),
         };
-        let holder = DutyHolder { vm: cx.settings.vm.clone(), peers: cx.settings.peers_listen() };
-        let value = serde_json::to_vec(&holder).expect("plain fields serialize");
+        let leader = DomainLeader { vm: cx.settings.vm.clone(), peers: cx.settings.peers_listen() };
+        let value = serde_json::to_vec(&leader).expect("plain fields serialize");
         let key = duty_key(domain);
         let transaction = Transaction {
             expected: vec![(key.clone(), 0)],
@@ -120,7 +120,7 @@
                 log::info!(domain = &**domain, token = revision, hand_over_ms = hand_over.as_millis() as u64; "duty taken");
                 let controller =
                     cx.controllers.open(cx, DomainController::new(domain.clone(), lease, duty));
-                cx.fleet.update(|state| state.set_holder(domain, Some(holder)));
+                cx.fleet.update(|state| state.set_leader(domain, Some(leader)));
                 tokio::spawn(keep(cx.clone(), controller));
             }
             Ok(Committed::Conflict) => {
@@ -159,9 +159,9 @@
     cx.controllers.close(&controller);
     cx.fleet.update(|state| {
         let is_own =
-            state.holder(&controller.domain).is_some_and(|holder| holder.vm == cx.settings.vm);
+            state.leader(&controller.domain).is_some_and(|leader| leader.vm == cx.settings.vm);
         if is_own {
-            state.set_holder(&controller.domain, None);
+            state.set_leader(&controller.domain, None);
         }
     });
 }
--- a/savoryport/src/node/rpc.rs
+++ b/savoryport/src/node/rpc.rs
@@ -12,7 +12,7 @@
 use tarpc::{client, context};
 use thiserror::Error;
 
-use super::view::{DutyHolder, Member};
+use super::view::{DomainLeader, Member};
 
 /// The time to connect to another node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
@@ -99,7 +99,7 @@
 }
 
 /// Nodes that take callers, and duty holders by failure domain.
-pub type Membership = (Vec<Member>, Vec<(Name, DutyHolder)>);
+pub type Membership = (Vec<Member>, Vec<(Name, DomainLeader)>);
 
 /// What the asking node lacks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/savoryport/src/node/status.rs
+++ b/savoryport/src/node/status.rs
@@ -37,7 +37,7 @@
         "config": view.version(),
         "store_answers": cx.store_health.is_available(cx.now()),
         "members": members,
-        "holders": view.holders,
+        "holders": view.leaders,
         "servers": servers,
         "duties": cx.controllers.all().iter().map(|controller| duty(cx, controller)).collect::<Vec<_>>(),
     })
--- a/savoryport/src/node/store_reader.rs
+++ b/savoryport/src/node/store_reader.rs
@@ -14,7 +14,7 @@
 
 use super::context::NodeContext;
 use super::fleet::FleetState;
-use super::view::{AcceptedConfig, DutyHolder};
+use super::view::{AcceptedConfig, DomainLeader};
 
 /// The store's prefix of the duties, one key for each failure domain.
 pub const DUTY_PREFIX: &str = "savoryport/duty/";
@@ -157,11 +157,11 @@
             backend_server(id, &item.value).ok()
         });
         state.registry.replace(servers.collect(), recovering, cx.now());
-        let domains: Vec<Name> = state.holders().keys().cloned().collect();
+        let domains: Vec<Name> = state.leaders().keys().cloned().collect();
         for domain in domains {
             let key = duty_key(&domain);
             if !listing.items.iter().any(|item| item.key == key) {
-                state.set_holder(&domain, None);
+                state.set_leader(&domain, None);
             }
         }
         for item in listing.items.iter().filter(|item| server_id(&item.key).is_none()) {
@@ -183,8 +183,8 @@
     } else if item.key == CONFIG_KEY {
         accept_config(state, &item.value, "store");
     } else if let Some(domain) = item.key.strip_prefix(DUTY_PREFIX) {
-        match serde_json::from_slice::<DutyHolder>(&item.value) {
-            Ok(holder) => state.set_holder(&domain.into(), Some(holder)),
+        match serde_json::from_slice::<DomainLeader>(&item.value) {
+            Ok(leader) => state.set_leader(&domain.into(), Some(leader)),
             Err(err) => log::warn!(domain = domain, err:% = err; "unreadable duty"),
         }
     }
@@ -207,7 +207,7 @@
             log::info!(server = id; "server gone");
         }
     } else if let Some(domain) = key.strip_prefix(DUTY_PREFIX) {
-        state.set_holder(&domain.into(), None);
+        state.set_leader(&domain.into(), None);
     }
 }
 
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -14,7 +14,7 @@
 use super::peer_server::{add_loads, note_prompts};
 use super::rpc::{PeerError, Position, Role, SyncReply, SyncRequest};
 use super::store_reader::accept_config;
-use super::view::{AcceptedConfig, DutyHolder};
+use super::view::{AcceptedConfig, DomainLeader};
 
 /// The time for one call of another node of the failure domain.
 const FOLLOW_TIMEOUT: Duration = Duration::from_millis(300);
@@ -34,7 +34,7 @@
 /// What a node that follows knows of its holder.
 #[derive(Debug, Default)]
 struct Following {
-    holder: Option<DutyHolder>,
+    leader: Option<DomainLeader>,
     have: Position,
     failures: u32,
     /// Whether a newer configuration is being fetched.
@@ -70,26 +70,26 @@
         publish_own(cx);
         return true;
     }
-    let holder = cx.fleet.read(|state| state.holder(domain).cloned());
-    let Some(holder) = holder.filter(|holder| holder.vm != *own) else { return true };
-    if following.holder.as_ref() != Some(&holder) {
-        *following = Following { holder: Some(holder.clone()), ..Following::default() };
+    let leader = cx.fleet.read(|state| state.leader(domain).cloned());
+    let Some(leader) = leader.filter(|leader| leader.vm != *own) else { return true };
+    if following.leader.as_ref() != Some(&leader) {
+        *following = Following { leader: Some(leader.clone()), ..Following::default() };
     }
-    match call(cx, following, &holder).await {
+    match call(cx, following, &leader).await {
         Ok(reply) => {
             if following.failures >= LOST_AFTER {
-                log::info!(holder = &*holder.vm; "holder regained");
+                log::info!(holder = &*leader.vm; "holder regained");
             }
             following.failures = 0;
-            fetch_config(cx, &holder, &following.fetching, reply.position.config);
+            fetch_config(cx, &leader, &following.fetching, reply.position.config);
             apply(cx, following, reply, takes_servers)
         }
         Err(err) => {
             following.failures += 1;
             if following.failures == LOST_AFTER {
-                log::warn!(holder = &*holder.vm, err:% = err; "holder lost");
+                log::warn!(holder = &*leader.vm, err:% = err; "holder lost");
             }
-            cx.peers.forget(holder.peers);
+            cx.peers.forget(leader.peers);
             following.failures >= LOST_AFTER
         }
     }
@@ -98,14 +98,14 @@
 async fn call(
     cx: &NodeContext,
     following: &Following,
-    holder: &DutyHolder,
+    leader: &DomainLeader,
 ) -> Result<SyncReply, PeerError> {
     let req = request(cx, following);
     let exchange = async {
-        let connection = cx.peers.get(holder.peers).await?;
+        let connection = cx.peers.get(leader.peers).await?;
         connection.sync(req, FOLLOW_TIMEOUT).await
     };
-    let timed_out = || PeerError { address: holder.peers, problem: "no answer in time".to_owned() };
+    let timed_out = || PeerError { address: leader.peers, problem: "no answer in time".to_owned() };
     tokio::time::timeout(FOLLOW_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(timed_out()))
 }
 
@@ -140,11 +140,11 @@
             state.apply_servers(&reply);
         }
         state.confirm_members(None, now);
-        if let Some((members, holders)) = &reply.members {
+        if let Some((members, leaders)) = &reply.members {
             state.set_members(members.clone(), now);
             if takes_servers {
-                for (domain, holder) in holders {
-                    state.set_holder(domain, Some(holder.clone()));
+                for (domain, leader) in leaders {
+                    state.set_leader(domain, Some(leader.clone()));
                 }
             }
         }
@@ -185,15 +185,15 @@
             positions.clear();
             continue;
         }
-        let holders = cx.fleet.read(|state| state.holders().clone());
-        let others = holders.into_iter().filter(|(domain, holder)| {
-            holder.vm != cx.settings.vm && *domain != cx.settings.failure_domain
+        let leaders = cx.fleet.read(|state| state.leaders().clone());
+        let others = leaders.into_iter().filter(|(domain, leader)| {
+            leader.vm != cx.settings.vm && *domain != cx.settings.failure_domain
         });
-        let calls = others.map(|(domain, holder)| {
+        let calls = others.map(|(domain, leader)| {
             let have = positions.get(&domain).copied().unwrap_or_default();
             let cx = cx.clone();
             async move {
-                let position = exchange_with(&cx, &domain, &holder, have).await;
+                let position = exchange_with(&cx, &domain, &leader, have).await;
                 (domain, position)
             }
         });
@@ -207,14 +207,14 @@
 /// longer than news may wait.
 fn fetch_config(
     cx: &Arc<NodeContext>,
-    holder: &DutyHolder,
+    leader: &DomainLeader,
     fetching: &Arc<AtomicBool>,
     offered: u64,
 ) {
     if offered <= cx.fleet.view().version() || fetching.swap(true, Ordering::Relaxed) {
         return;
     }
-    let (cx, address, fetching) = (cx.clone(), holder.peers, fetching.clone());
+    let (cx, address, fetching) = (cx.clone(), leader.peers, fetching.clone());
     tokio::spawn(async move {
         if let Err(err) = try_fetch_config(&cx, address).await {
             log::warn!(err:% = err; "config not fetched");
@@ -236,7 +236,7 @@
 async fn exchange_with(
     cx: &Arc<NodeContext>,
     domain: &Name,
-    holder: &DutyHolder,
+    leader: &DomainLeader,
     have: Position,
 ) -> Option<Position> {
     let now = cx.now();
@@ -254,18 +254,18 @@
         prompts: Vec::new(),
     };
     let exchange = async {
-        let connection = cx.peers.get(holder.peers).await?;
+        let connection = cx.peers.get(leader.peers).await?;
         connection.sync(req, EXCHANGE_TIMEOUT).await
     };
     let reply = match tokio::time::timeout(EXCHANGE_TIMEOUT, exchange).await {
         Ok(Ok(reply)) => reply,
         Ok(Err(_)) | Err(_) => {
-            cx.peers.forget(holder.peers);
+            cx.peers.forget(leader.peers);
             cx.fleet.update(|state| state.clear_residency(domain));
             return None;
         }
     };
-    fetch_config(cx, holder, &Arc::default(), reply.position.config);
+    fetch_config(cx, leader, &Arc::default(), reply.position.config);
     cx.peer_reports.note_domain(domain, reply.loads.clone(), cx.now());
     cx.peer_reports.note_domain_prompts(&reply.prompts);
     note_prompts(cx, &reply.prompts, cx.now());
--- a/savoryport/src/node/view.rs
+++ b/savoryport/src/node/view.rs
@@ -26,7 +26,7 @@
 
 /// The node that holds the duty for a failure domain's servers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DutyHolder {
+pub struct DomainLeader {
     /// The VM.
     pub vm: Name,
     /// Where it answers other nodes.
@@ -88,7 +88,7 @@
     /// Nodes that take callers' requests, this one included.
     pub members: Vec<Member>,
     /// Duty holders by failure domain.
-    pub holders: BTreeMap<Name, DutyHolder>,
+    pub leaders: BTreeMap<Name, DomainLeader>,
 }
 
 impl FleetView {
