--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -259,7 +259,7 @@
         let Some(adapter) = &asked.adapter else { return true };
         let cx = &self.cx;
         let wanted = (server.id.clone(), asked.model.clone(), adapter.clone());
-        if cx.controllers.holds_duty(&server.failure_domain) {
+        if cx.controllers.leads(&server.failure_domain) {
             let (server, model, adapter) = &wanted;
             return cx.controllers.ensure_adapter(cx, server, model, adapter).await
                 == WishReply::Ready;
@@ -298,7 +298,7 @@
         let cx = &self.cx;
         let domains = domains_with_ready_servers(&cx.fleet.view(), &self.service);
         let domain = owner(model, domains.iter()).unwrap_or(&cx.settings.failure_domain);
-        let reply = if cx.controllers.holds_duty(domain) {
+        let reply = if cx.controllers.leads(domain) {
             cx.controllers.request_model(cx, &self.service, model, domain)
         } else {
             let leader = cx.fleet.read(|state| state.leader(domain).cloned())?;
--- a/savoryport/src/node/domain_controller.rs
+++ b/savoryport/src/node/domain_controller.rs
@@ -42,12 +42,12 @@
 
 impl DomainControllers {
     /// Returns whether this node holds the duty of a failure domain.
-    pub fn holds_duty(&self, domain: &str) -> bool {
+    pub fn leads(&self, domain: &str) -> bool {
         self.0.lock().expect("no holder panics").contains_key(domain)
     }
 
     /// Returns whether this node holds any duty.
-    pub fn holds_any_duty(&self) -> bool {
+    pub fn leads_any(&self) -> bool {
         !self.0.lock().expect("no holder panics").is_empty()
     }
 
@@ -90,7 +90,8 @@
         let domain = cx.fleet.view().servers.get(server).map(|known| known.failure_domain.clone());
         let controller = domain
             .and_then(|domain| self.0.lock().expect("no holder panics").get(&domain).cloned());
-        let Some(controller) = controller.filter(|controller| controller.may_order(cx).is_some())
+        let Some(controller) =
+            controller.filter(|controller| controller.active_token(cx).is_some())
         else {
             return WishReply::Unavailable;
         };
@@ -126,7 +127,8 @@
             return WishReply::Unavailable;
         };
         let controller = self.0.lock().expect("no holder panics").get(domain).cloned();
-        let Some(controller) = controller.filter(|controller| controller.may_order(cx).is_some())
+        let Some(controller) =
+            controller.filter(|controller| controller.active_token(cx).is_some())
         else {
             return WishReply::Unavailable;
         };
@@ -155,7 +157,7 @@
     }
 
     /// Returns the fencing token if an order may be given now.
-    pub fn may_order(&self, cx: &NodeContext) -> Option<u64> {
+    pub fn active_token(&self, cx: &NodeContext) -> Option<u64> {
         if cx.stopping.is_cancelled() || self.cancel.is_cancelled() {
             return None;
         }
--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -285,7 +285,7 @@
         busy_for: Duration,
     ) -> Result<OrderAnswer, OrderObstacle> {
         let (server, class) = self.target().ok_or(OrderObstacle::Unknown)?;
-        let token = self.controller.may_order(&self.cx).ok_or(OrderObstacle::Unknown)?;
+        let token = self.controller.active_token(&self.cx).ok_or(OrderObstacle::Unknown)?;
         let expected = {
             let ledger = self.ledger();
             ledger.check(order, &class, self.cx.now())?;
--- a/savoryport/src/node/leadership.rs
+++ b/savoryport/src/node/leadership.rs
@@ -83,8 +83,8 @@
         vacant
             .filter(|domain| {
                 let since = *self.since.entry(domain.clone()).or_insert(now);
-                let is_adopted = cx.controllers.holds_any_duty() && now - since > ADOPT_AFTER;
-                !cx.controllers.holds_duty(domain) && (domain == own || is_adopted)
+                let is_adopted = cx.controllers.leads_any() && now - since > ADOPT_AFTER;
+                !cx.controllers.leads(domain) && (domain == own || is_adopted)
             })
             .collect()
     }
--- a/savoryport/src/node/peer_server.rs
+++ b/savoryport/src/node/peer_server.rs
@@ -203,7 +203,7 @@
         };
         let mut reply = SyncReply {
             position: Position::default(),
-            is_holder: cx.controllers.holds_duty(&cx.settings.failure_domain)
+            is_holder: cx.controllers.leads(&cx.settings.failure_domain)
                 && cx.store_health.is_available(now),
             is_full: false,
             servers: Vec::new(),
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -57,7 +57,7 @@
                 .cloned()
                 .collect();
             controller.follow_servers(&cx, &servers);
-            if controller.may_order(&cx).is_some() {
+            if controller.active_token(&cx).is_some() {
                 note_copy_uses(&cx, &controller);
                 look(&cx, &controller, &view, &service.name, class, &servers);
             }
--- a/savoryport/src/node/status.rs
+++ b/savoryport/src/node/status.rs
@@ -55,7 +55,7 @@
     });
     json!({
         "failure_domain": controller.domain,
-        "may_order": controller.may_order(cx).is_some(),
+        "may_order": controller.active_token(cx).is_some(),
         "engines": engines.collect::<Vec<_>>(),
     })
 }
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -66,7 +66,7 @@
     let domain = &cx.settings.failure_domain;
     let own = &cx.settings.vm;
     // A holder reads for the others; so does one that still holds a foreign domain's duty.
-    if cx.controllers.holds_any_duty() {
+    if cx.controllers.leads_any() {
         publish_own(cx);
         return true;
     }
@@ -181,7 +181,7 @@
     let period = Duration::from_millis(cx.settings.exchange_period_ms);
     loop {
         tokio::time::sleep(period).await;
-        if !cx.controllers.holds_any_duty() {
+        if !cx.controllers.leads_any() {
             positions.clear();
             continue;
         }
