--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -1,26 +1,25 @@
 //! A node: one process a VM, which takes callers' requests and any duty that needs a holder.
 //!
 //! A request's way leads through `callers`, `receive`, `proxy`, `server_selection`, `server_response` and
-//! `stream`; `reader`, `sync` and
-//! `duty` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
+//! `stream`; `store_reader`, `sync` and
+//! `leadership` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
 
 mod callers;
 mod clock;
 mod context;
-mod desk;
 mod directory;
-mod duty;
+mod domain_controller;
 mod engine;
 pub mod event_splitter;
 pub mod fleet;
-mod hub;
 mod in_flight;
+mod leadership;
 mod metrics;
+mod peer_server;
 mod peers;
 mod planner;
 pub mod prompt_log;
 mod proxy;
-pub mod reader;
 mod receive;
 mod response;
 mod routing_state;
@@ -29,6 +28,7 @@
 mod server_selection;
 pub mod settings;
 mod status;
+pub mod store_reader;
 mod stream;
 mod sync;
 pub mod view;
@@ -52,14 +52,14 @@
 
 use self::clock::BootClock;
 use self::context::NodeContext;
-use self::desk::Desks;
+use self::domain_controller::DomainControllers;
 use self::fleet::Fleet;
-use self::hub::Hub;
 use self::metrics::NodeMetrics;
+use self::peer_server::PeerReports;
 use self::peers::Peers;
-use self::reader::StoreContact;
 use self::routing_state::SharedRoutingState;
 use self::settings::NodeSettings;
+use self::store_reader::StoreHealth;
 use self::view::Member;
 
 /// A node that stops takes requests for this long: callers keep an address for up to three times the
@@ -95,7 +95,7 @@
     let callers = callers::listen(cx.settings.callers_listen).await?;
     let directory = callers::listen(cx.settings.directory_listen).await?;
     let readiness = callers::listen(cx.settings.readiness_listen).await?;
-    hub::start(&cx).await?;
+    peer_server::start(&cx).await?;
     let metrics_listen = SocketAddr::new(cx.settings.ip_address, cx.settings.metrics_port);
     let told = cx.clone();
     let status = move || status::status(&told);
@@ -109,13 +109,13 @@
         log::warn!(err:% = err; "no metrics page");
     }
     let (reads, reading) = watch::channel(true);
-    tokio::spawn(reader::run(cx.clone(), reading));
+    tokio::spawn(store_reader::run(cx.clone(), reading));
     tokio::spawn(sync::follow(cx.clone(), reads));
     tokio::spawn(sync::exchange(cx.clone()));
     tokio::spawn(directory::accept(cx.clone(), directory));
     tokio::spawn(directory::accept(cx.clone(), readiness));
     tokio::spawn(callers::accept(cx.clone(), callers));
-    let duties = tokio::spawn(duty::run(cx.clone()));
+    let duties = tokio::spawn(leadership::run(cx.clone()));
     log::info!(vm = &*cx.settings.vm, domain = &*cx.settings.failure_domain; "started");
     cx.stopping.cancelled().await;
     stop(&cx, duties).await;
@@ -157,12 +157,12 @@
         order_pool: Pool::default(),
         fleet: Fleet::new(member.clone()),
         routing: SharedRoutingState::new(bound, ASSUMED_NODES, settings.selection_costs()),
-        hub: Hub::default(),
-        store_contact: StoreContact::default(),
+        peer_reports: PeerReports::default(),
+        store_health: StoreHealth::default(),
         tenure: tenure.max(1),
         member,
         peers: Peers::default(),
-        desks: Desks::default(),
+        controllers: DomainControllers::default(),
         metrics: NodeMetrics::default(),
         stopping,
         connection_shutdown: CancellationToken::new(),
--- a/savoryport/src/node/hub.rs
+++ b/savoryport/src/node/peer_server.rs
@@ -27,10 +27,10 @@
 
 /// What other nodes told.
 #[derive(Debug, Default)]
-pub struct Hub(Mutex<HubState>);
+pub struct PeerReports(Mutex<ReportState>);
 
 #[derive(Debug, Default)]
-struct HubState {
+struct ReportState {
     followers: HashMap<Name, Told>,
     domains: HashMap<Name, Told>,
     work_ms: HashMap<Name, f64>,
@@ -51,8 +51,8 @@
     }
 }
 
-impl Hub {
-    fn lock(&self) -> MutexGuard<'_, HubState> {
+impl PeerReports {
+    fn lock(&self) -> MutexGuard<'_, ReportState> {
         self.0.lock().expect("no holder panics")
     }
 
@@ -150,7 +150,7 @@
     }
 }
 
-impl HubState {
+impl ReportState {
     fn add_work(&mut self, work_ms: &[(Name, f64)]) {
         for (model, ms) in work_ms {
             *self.work_ms.entry(model.clone()).or_default() += ms;
@@ -179,29 +179,32 @@
         };
         let mut loads = match req.role {
             Role::Follower => {
-                cx.hub.note_follower(&req, now);
+                cx.peer_reports.note_follower(&req, now);
                 note_prompts(cx, &req.prompts, now);
-                cx.hub.loads_but(Some(&req.member.vm), true, now)
+                cx.peer_reports.loads_but(Some(&req.member.vm), true, now)
             }
             Role::Holder => {
                 let loads = req.loads.clone();
                 let asking = &req.member.failure_domain;
-                cx.hub.note_domain(asking, loads, now);
-                cx.hub.note_domain_needs(&req, now);
-                cx.hub.loads_but(None, false, now)
+                cx.peer_reports.note_domain(asking, loads, now);
+                cx.peer_reports.note_domain_needs(&req, now);
+                cx.peer_reports.loads_but(None, false, now)
             }
         };
         add_loads(&mut loads, cx.routing.lock().loads.own());
         let (prompt_count, prompts) = match req.role {
-            Role::Follower => cx.hub.lock().prompts.records_since(req.have.prompts, &req.member.vm),
+            Role::Follower => {
+                cx.peer_reports.lock().prompts.records_since(req.have.prompts, &req.member.vm)
+            }
             Role::Holder if req.have.tenure == cx.tenure => {
-                cx.hub.lock().prompts.shared_prefixes_since(req.have.prompts)
+                cx.peer_reports.lock().prompts.shared_prefixes_since(req.have.prompts)
             }
-            Role::Holder => cx.hub.lock().prompts.shared_prefixes_since(0),
+            Role::Holder => cx.peer_reports.lock().prompts.shared_prefixes_since(0),
         };
         let mut reply = SyncReply {
             position: Position::default(),
-            is_holder: cx.desks.holds(&cx.settings.failure_domain) && cx.store_contact.is_good(now),
+            is_holder: cx.controllers.leads(&cx.settings.failure_domain)
+                && cx.store_health.is_available(now),
             is_full: false,
             servers: Vec::new(),
             removed: Vec::new(),
@@ -214,7 +217,7 @@
                 if req.is_leaving {
                     state.remove_member(&req.member.vm);
                 } else {
-                    state.note_member(req.member.clone(), now);
+                    state.record_member(req.member.clone(), now);
                 }
                 state.expire_members(now);
             }
@@ -231,12 +234,12 @@
     }
 
     async fn want_adapter(self, _: Context, server: Name, model: Name, adapter: Name) -> WishReply {
-        self.cx.desks.want_adapter(&self.cx, &server, &model, &adapter).await
+        self.cx.controllers.ensure_adapter(&self.cx, &server, &model, &adapter).await
     }
 
     async fn want_model(self, _: Context, service: Name, model: Name) -> WishReply {
         let domain = &self.cx.settings.failure_domain;
-        self.cx.desks.want_model(&self.cx, &service, &model, domain)
+        self.cx.controllers.request_model(&self.cx, &service, &model, domain)
     }
 }
 
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -14,9 +14,9 @@
 use smallvec::SmallVec;
 
 use super::context::NodeContext;
-use super::desk::Desk;
+use super::domain_controller::DomainController;
 use super::engine::Command;
-use super::view::View;
+use super::view::FleetView;
 
 /// A wish for a model that nobody holds counts as demand for this long.
 const WISH_LIFETIME: Duration = Duration::from_millis(1_500);
@@ -41,7 +41,7 @@
 }
 
 /// Looks at the placement of models from time to time.
-pub async fn plan(cx: Arc<NodeContext>, desk: Arc<Desk>) {
+pub async fn plan(cx: Arc<NodeContext>, controller: Arc<DomainController>) {
     let period = Duration::from_millis(cx.settings.placement_period_ms);
     loop {
         tokio::time::sleep(period).await;
@@ -53,25 +53,25 @@
                 .servers
                 .values()
                 .filter(|server| server.service == service.name)
-                .filter(|server| server.failure_domain == desk.domain && server.is_ready())
+                .filter(|server| server.failure_domain == controller.domain && server.is_ready())
                 .cloned()
                 .collect();
-            desk.follow_servers(&cx, &servers);
-            if desk.may_order(&cx).is_some() {
-                note_copy_uses(&cx, &desk);
-                look(&cx, &desk, &view, &service.name, class, &servers);
+            controller.follow_servers(&cx, &servers);
+            if controller.active_token(&cx).is_some() {
+                note_copy_uses(&cx, &controller);
+                look(&cx, &controller, &view, &service.name, class, &servers);
             }
         }
     }
 }
 
-fn note_copy_uses(cx: &NodeContext, desk: &Desk) {
-    let engines = desk.handles();
+fn note_copy_uses(cx: &NodeContext, controller: &DomainController) {
+    let engines = controller.handles();
     for engine in engines.values() {
         engine.ledger().clear_uses();
     }
     let own = cx.routing.lock().copies_in_use();
-    for usage in cx.hub.copies_in_use().into_iter().chain(own) {
+    for usage in cx.peer_reports.copies_in_use().into_iter().chain(own) {
         if let Some(engine) = engines.get(&usage.server) {
             let mut ledger = engine.ledger();
             let adapter = usage.adapter.as_deref();
@@ -82,23 +82,23 @@
 
 fn look(
     cx: &NodeContext,
-    desk: &Desk,
-    view: &View,
+    controller: &DomainController,
+    view: &FleetView,
     service: &Name,
     class: &EngineClass,
     servers: &[Arc<BackendServer>],
 ) {
     let now = cx.now();
-    let mut planner = desk.planner.lock().expect("no holder panics");
-    if desk.domain == cx.settings.failure_domain {
-        let work = cx.hub.take_work();
+    let mut planner = controller.planner.lock().expect("no holder panics");
+    if controller.domain == cx.settings.failure_domain {
+        let work = cx.peer_reports.take_work();
         planner.demand.observe(&work, now);
     }
     planner.wishes.retain(|_, at| now.saturating_duration_since(*at) < WISH_LIFETIME);
     let holders = holders_by_model(view, service);
-    let missing = planner.missing(view, service, class, &desk.domain, &holders, now);
+    let missing = planner.missing(view, service, class, &controller.domain, &holders, now);
     let demand = planner.demand_with_wishes();
-    let neighbours = neighbours(cx, view, service, &desk.domain);
+    let neighbours = neighbours(cx, view, service, &controller.domain);
     let needs = Needs {
         class,
         servers,
@@ -108,7 +108,7 @@
         neighbours: &neighbours,
     };
     for _ in 0..MAX_MOVES_PER_LOOK {
-        let chosen = planner.choose(cx, desk, &needs);
+        let chosen = planner.choose(cx, controller, &needs);
         let Some(chosen) = chosen else { return };
         planner.note(&chosen, now);
         cx.metrics.loads.inc();
@@ -116,7 +116,7 @@
             server = &*chosen.server, model = &*chosen.load, source:? = chosen.source,
             unload:? = chosen.unload, value = chosen.value; "move decided"
         );
-        if let Some(engine) = desk.engine(&chosen.server) {
+        if let Some(engine) = controller.engine(&chosen.server) {
             engine.send(Command::Move(chosen));
         }
     }
@@ -137,14 +137,14 @@
     /// Returns the models that nobody holds and this domain is to bring back.
     fn missing(
         &mut self,
-        view: &View,
+        view: &FleetView,
         service: &Name,
         class: &EngineClass,
         domain: &str,
         holders: &HashMap<Name, Vec<Name>>,
         now: Instant,
     ) -> BTreeMap<Name, Missing> {
-        let domains = engine_domains(view, service);
+        let domains = domains_with_ready_servers(view, service);
         self.missing_since.retain(|model, _| !holders.contains_key(model));
         let mut missing = BTreeMap::new();
         for model in class.models.keys().filter(|model| !holders.contains_key(*model)) {
@@ -170,7 +170,12 @@
         demand
     }
 
-    fn choose(&mut self, cx: &NodeContext, desk: &Desk, needs: &Needs<'_>) -> Option<Move> {
+    fn choose(
+        &mut self,
+        cx: &NodeContext,
+        controller: &DomainController,
+        needs: &Needs<'_>,
+    ) -> Option<Move> {
         let Needs { class, servers, holders, missing, demand, neighbours } = *needs;
         let now = cx.now();
         let window = Duration::from_secs_f64(cx.settings.load_window_s);
@@ -187,7 +192,7 @@
         let options: Vec<PlacementServer<'_>> = servers
             .iter()
             .filter_map(|server| {
-                let engine = desk.engine(&server.id)?;
+                let engine = controller.engine(&server.id)?;
                 let ledger = engine.ledger();
                 let moving = engine.moving();
                 let mut models: SmallVec<[Name; 4]> = ledger.models().cloned().collect();
@@ -217,7 +222,7 @@
             servers: &options,
             holders,
             missing,
-            domain: &desk.domain,
+            domain: &controller.domain,
             demand,
             neighbours,
             may_use_store,
@@ -238,9 +243,10 @@
 }
 
 /// Returns the other failure domains in the region of one, with their demand and copies.
-fn neighbours(cx: &NodeContext, view: &View, service: &Name, domain: &Name) -> Vec<Neighbour> {
+fn neighbours(cx: &NodeContext, view: &FleetView, service: &Name, domain: &Name) -> Vec<Neighbour> {
     let region = cx.settings.region_of(domain);
-    let others = engine_domains(view, service).into_iter().filter(|other| other != domain);
+    let others =
+        domains_with_ready_servers(view, service).into_iter().filter(|other| other != domain);
     let near = others.filter(|other| region.is_some() && cx.settings.region_of(other) == region);
     near.map(|other| {
         let servers = view.servers.values().filter(|server| {
@@ -250,13 +256,13 @@
         for model in servers.flat_map(|server| &server.models) {
             *copies.entry(model.name.clone()).or_default() += 1;
         }
-        Neighbour { demand: cx.hub.demand_of(&other, cx.now()), domain: other, copies }
+        Neighbour { demand: cx.peer_reports.demand_of(&other, cx.now()), domain: other, copies }
     })
     .collect()
 }
 
 /// Returns the ready servers that hold each model.
-fn holders_by_model(view: &View, service: &str) -> HashMap<Name, Vec<Name>> {
+fn holders_by_model(view: &FleetView, service: &str) -> HashMap<Name, Vec<Name>> {
     let mut holders: HashMap<Name, Vec<Name>> = HashMap::new();
     let servers = view.servers.values().filter(|server| &*server.service == service);
     for server in servers.filter(|server| server.is_ready()) {
@@ -268,7 +274,7 @@
 }
 
 /// Returns the failure domains that have ready servers of a service.
-pub fn engine_domains(view: &View, service: &str) -> BTreeSet<Name> {
+pub fn domains_with_ready_servers(view: &FleetView, service: &str) -> BTreeSet<Name> {
     let servers = view.servers.values().filter(|server| &*server.service == service);
     let ready = servers.filter(|server| server.is_ready());
     ready.map(|server| server.failure_domain.clone()).collect()
--- a/savoryport/src/node/server_selection.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -12,11 +12,11 @@
 use savoryport_core::node::request::Generation;
 use savoryport_core::node::selection::{Candidate, Demanded, Distance, choose};
 
-use super::planner::engine_domains;
+use super::planner::domains_with_ready_servers;
 use super::proxy::ProxyRequest;
 use super::response::{Refusal, RefusalCause};
 use super::rpc::WishReply;
-use super::view::View;
+use super::view::FleetView;
 
 /// The pause between two looks for a server with a place for an adapter.
 const PLACE_PAUSE: Duration = Duration::from_millis(60);
@@ -213,11 +213,14 @@
         Look::Picked(picked, choice.candidate.adapter_orders > 0)
     }
 
-    fn ready<'a>(&'a self, view: &'a View) -> impl Iterator<Item = &'a Arc<BackendServer>> {
+    fn ready<'a>(&'a self, view: &'a FleetView) -> impl Iterator<Item = &'a Arc<BackendServer>> {
         view.servers.values().filter(|server| server.service == self.service && server.is_ready())
     }
 
-    fn candidates<'a>(&'a self, view: &'a View) -> Vec<(Candidate<'a>, &'a Arc<BackendServer>)> {
+    fn candidates<'a>(
+        &'a self,
+        view: &'a FleetView,
+    ) -> Vec<(Candidate<'a>, &'a Arc<BackendServer>)> {
         let nodes = view.members.len().max(1) as u32;
         let service = self.deployment.services.get(&self.service);
         let limit = service.map_or(u32::MAX, |service| service.connection_limit);
@@ -261,14 +264,15 @@
         let Some(adapter) = &asked.adapter else { return true };
         let cx = &self.cx;
         let wanted = (server.id.clone(), asked.model.clone(), adapter.clone());
-        if cx.desks.holds(&server.failure_domain) {
+        if cx.controllers.leads(&server.failure_domain) {
             let (server, model, adapter) = &wanted;
-            return cx.desks.want_adapter(cx, server, model, adapter).await == WishReply::Ready;
+            return cx.controllers.ensure_adapter(cx, server, model, adapter).await
+                == WishReply::Ready;
         }
-        let holder = cx.fleet.read(|state| state.holder(&server.failure_domain).cloned());
-        let Some(holder) = holder else { return false };
+        let leader = cx.fleet.read(|state| state.leader(&server.failure_domain).cloned());
+        let Some(leader) = leader else { return false };
         let wish = async {
-            let connection = cx.peers.get(holder.peers).await?;
+            let connection = cx.peers.get(leader.peers).await?;
             connection.want_adapter(wanted, WISH_TIMEOUT).await
         };
         let within = WISH_TIMEOUT.min(self.left());
@@ -300,14 +304,14 @@
     /// Tells the order giver that a model is missing; returns when it will be there.
     async fn wish_for_model(&self, model: &Name) -> Option<Duration> {
         let cx = &self.cx;
-        let domains = engine_domains(&cx.fleet.view(), &self.service);
+        let domains = domains_with_ready_servers(&cx.fleet.view(), &self.service);
         let domain = owner(model, domains.iter()).unwrap_or(&cx.settings.failure_domain);
-        let reply = if cx.desks.holds(domain) {
-            cx.desks.want_model(cx, &self.service, model, domain)
+        let reply = if cx.controllers.leads(domain) {
+            cx.controllers.request_model(cx, &self.service, model, domain)
         } else {
-            let holder = cx.fleet.read(|state| state.holder(domain).cloned())?;
+            let leader = cx.fleet.read(|state| state.leader(domain).cloned())?;
             let wish = async {
-                let connection = cx.peers.get(holder.peers).await?;
+                let connection = cx.peers.get(leader.peers).await?;
                 connection.want_model((self.service.clone(), model.clone()), WISH_TIMEOUT).await
             };
             let within = WISH_TIMEOUT.min(self.left());
--- a/savoryport/src/node/view.rs
+++ b/savoryport/src/node/view.rs
@@ -26,7 +26,7 @@
 
 /// The node that holds the duty for a failure domain's servers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DutyHolder {
+pub struct DomainLeader {
     /// The VM.
     pub vm: Name,
     /// Where it answers other nodes.
@@ -80,7 +80,7 @@
 
 /// One snapshot.
 #[derive(Debug, Clone, Default)]
-pub struct View {
+pub struct FleetView {
     /// The configuration in force, once one is known.
     pub config: Option<AcceptedConfig>,
     /// Backend servers by id.
@@ -88,10 +88,10 @@
     /// Nodes that take callers' requests, this one included.
     pub members: Vec<Member>,
     /// Duty holders by failure domain.
-    pub holders: BTreeMap<Name, DutyHolder>,
+    pub leaders: BTreeMap<Name, DomainLeader>,
 }
 
-impl View {
+impl FleetView {
     /// Returns the configuration in force.
     pub fn deployment(&self) -> Option<&Arc<Deployment>> {
         self.config.as_ref().map(|config| &config.deployment)
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use node_site::{Ask, NodeSite, TURN_MS, whole_stream};
+use node_site::{NodeSite, ORDER_TURN_MS, RequestKind, expected_stream};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rustix::process::Signal;
@@ -37,7 +37,7 @@
 const RECOVERS_WITHIN: Duration = Duration::from_secs(8);
 
 /// What callers were told, by request.
-type Told = HashMap<String, (Ask, u16)>;
+type Told = HashMap<String, (RequestKind, u16)>;
 
 #[test]
 fn promises_hold_under_series_of_faults() {
@@ -70,12 +70,16 @@
                 let mut rng = SmallRng::seed_from_u64(seed * 1_000 + caller);
                 while !done.load(Ordering::Relaxed) {
                     let id = format!("r{seed}-{}", count.fetch_add(1, Ordering::Relaxed));
-                    let ask = [Ask::Commit, Ask::Lookup, Ask::Draft("m0"), Ask::Draft("m1/a1")]
-                        [rng.random_range(0..4)];
+                    let kind = [
+                        RequestKind::NonIdempotent,
+                        RequestKind::Idempotent,
+                        RequestKind::Stream("m0"),
+                        RequestKind::Stream("m1/a1"),
+                    ][rng.random_range(0..4)];
                     let (_, address) = &targets[rng.random_range(0..targets.len())];
-                    let answer = node_site::ask(address, &id, ask);
-                    check_answer(seed, &id, ask, &answer);
-                    told.lock().expect("no holder panics").insert(id, (ask, answer.status));
+                    let answer = node_site::send_request(address, &id, kind);
+                    check_answer(seed, &id, kind, &answer);
+                    told.lock().expect("no holder panics").insert(id, (kind, answer.status));
                 }
             });
         }
@@ -98,18 +102,20 @@
     for number in 0.. {
         let statuses: Vec<u16> = (0..3)
             .flat_map(|node| {
-                [Ask::Commit, Ask::Draft("m2/a3")].into_iter().enumerate().map(
-                    move |(kind, ask)| {
-                        site.get(node, &format!("after{seed}-{number}-{node}-{kind}"), ask).status
-                    },
-                )
+                [RequestKind::NonIdempotent, RequestKind::Stream("m2/a3")]
+                    .into_iter()
+                    .enumerate()
+                    .map(move |(index, kind)| {
+                        site.send(node, &format!("after{seed}-{number}-{node}-{index}"), kind)
+                            .status
+                    })
             })
             .collect();
         if statuses.iter().all(|status| *status == 200) {
             return;
         }
         if Instant::now() > ends {
-            site.print_last_lines(60);
+            site.print_last_log_lines(60);
             panic!("seed {seed}: not served after the faults: {statuses:?}");
         }
     }
@@ -122,12 +128,12 @@
     match rng.random_range(0..9) {
         0 => {
             site.nodes[node].signal(Signal::KILL);
-            let _ = site.nodes[node].wait();
+            let _ = site.nodes[node].wait_for_exit();
             site.nodes[node].start();
         }
         1 => {
             site.nodes[node].signal(Signal::TERM);
-            let ended = site.nodes[node].wait();
+            let ended = site.nodes[node].wait_for_exit();
             assert!(ended.is_some_and(|status| status.success()), "a stop fails");
             site.nodes[node].start();
         }
@@ -148,7 +154,7 @@
                 delay: Duration::from_millis(rng.random_range(0..300)),
                 ..Faults::default()
             };
-            site.nodes[node].store_path.set_faults(|present| *present = faults);
+            site.nodes[node].store_proxy.set_faults(|present| *present = faults);
         }
         5 => {
             let faults = [
@@ -173,21 +179,21 @@
         server.set_fault(BackendFault::None);
     }
     for node in &site.nodes {
-        node.store_path.set_faults(|present| *present = Faults::default());
+        node.store_proxy.set_faults(|present| *present = Faults::default());
     }
 }
 
 /// A success is whole, proven and the caller's own; nothing else bears a proof of success.
-fn check_answer(seed: u64, id: &str, ask: Ask, answer: &node_site::CallerAnswer) {
+fn check_answer(seed: u64, id: &str, kind: RequestKind, answer: &node_site::CallerResponse) {
     if answer.status != 200 {
         return;
     }
-    assert!(answer.proof.is_some(), "seed {seed}: {id} has no proof");
+    assert!(answer.server_stamp.is_some(), "seed {seed}: {id} has no proof");
     // A stream that broke off has no body for its caller; one that ends well is whole.
     let Some(body) = &answer.body else { return };
-    let owed = match ask {
-        Ask::Draft(_) => whole_stream(id),
-        Ask::Commit | Ask::Lookup => format!("answer to {id}"),
+    let owed = match kind {
+        RequestKind::Stream(_) => expected_stream(id),
+        RequestKind::NonIdempotent | RequestKind::Idempotent => format!("answer to {id}"),
     };
     assert_eq!(*body, owed, "seed {seed}: {id}");
 }
@@ -195,9 +201,9 @@
 /// What may not repeat ran once at most, and not at all where the caller was told so.
 fn check_runs(seed: u64, site: &NodeSite, told: &Told) {
     let runs = site.runs();
-    for (id, (ask, status)) in told {
+    for (id, (kind, status)) in told {
         let ran = runs.get(id).copied().unwrap_or(0);
-        if matches!(ask, Ask::Commit) {
+        if matches!(kind, RequestKind::NonIdempotent) {
             assert!(ran <= 1, "seed {seed}: {id} ran {ran} times");
             let promised = [408, 421, 429, 503].contains(status);
             assert!(!promised || ran == 0, "seed {seed}: {id} ran after {status}");
@@ -214,7 +220,7 @@
         assert_eq!(server.overcommitted(), 0, "seed {seed}: {}", server.id());
         for pair in server.orders().windows(2) {
             assert!(pair[1].fencing_token >= pair[0].fencing_token, "seed {seed}: token falls");
-            let apart = pair[1].at - pair[0].at >= Duration::from_millis(TURN_MS);
+            let apart = pair[1].at - pair[0].at >= Duration::from_millis(ORDER_TURN_MS);
             let same = pair[0].fencing_token == pair[1].fencing_token;
             assert!(same || pair[0].holder == pair[1].holder || apart, "seed {seed}: two holders");
         }
