--- a/savoryport_core/src/attempt.rs
+++ b/savoryport_core/src/attempt.rs
@@ -5,10 +5,11 @@
 
 use std::sync::{Arc, LazyLock};
 
-use crate::chart::{Chart, ChartError, Machine};
+use crate::state_chart::{StateChart, StateChartError, StateMachine};
 
-static CHART: LazyLock<Arc<Chart>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../charts/attempt.json")).expect("the embedded chart is checked")
+static CHART: LazyLock<Arc<StateChart>> = LazyLock::new(|| {
+    StateChart::parse(include_str!("../charts/attempt.json"))
+        .expect("the embedded chart is checked")
 });
 
 key! {
@@ -87,7 +88,7 @@
 /// One request from its arrival to its final answer.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    machine: Machine,
+    machine: StateMachine,
     repeatable: bool,
 }
 
@@ -97,7 +98,7 @@
     /// `repeatable` holds the table's word at the arrival; [`Attempt::may_retry`] also asks the
     /// table in force at the retry, since an operator may have changed it meanwhile.
     pub fn new(repeatable: bool) -> Self {
-        Self { machine: Machine::new(CHART.clone()), repeatable }
+        Self { machine: StateMachine::new(CHART.clone()), repeatable }
     }
 
     /// Takes an event.
@@ -105,7 +106,7 @@
     /// # Errors
     ///
     /// Returns an error where the event has no place in the present state.
-    pub fn on(&mut self, event: AttemptEvent) -> Result<(), ChartError> {
+    pub fn on(&mut self, event: AttemptEvent) -> Result<(), StateChartError> {
         self.machine.fire(event.name()).map(drop)
     }
 
--- a/savoryport_core/src/lease.rs
+++ b/savoryport_core/src/lease.rs
@@ -7,16 +7,16 @@
 use std::sync::{Arc, LazyLock};
 use std::time::{Duration, Instant};
 
-use crate::chart::{Chart, Machine};
+use crate::state_chart::{StateChart, StateMachine};
 
-static CHART: LazyLock<Arc<Chart>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../charts/lease.json")).expect("the embedded chart is checked")
+static CHART: LazyLock<Arc<StateChart>> = LazyLock::new(|| {
+    StateChart::parse(include_str!("../charts/lease.json")).expect("the embedded chart is checked")
 });
 
 /// A lease that this process holds or wants.
 #[derive(Debug, Clone)]
 pub struct Lease {
-    machine: Machine,
+    machine: StateMachine,
     time_to_live: Duration,
     good_until: Option<Instant>,
 }
@@ -27,7 +27,7 @@
 
     /// Starts without the lease.
     pub fn new(time_to_live: Duration) -> Self {
-        Self { machine: Machine::new(CHART.clone()), time_to_live, good_until: None }
+        Self { machine: StateMachine::new(CHART.clone()), time_to_live, good_until: None }
     }
 
     /// Notes that a request for the lease was sent.
--- a/savoryport_core/src/lib.rs
+++ b/savoryport_core/src/lib.rs
@@ -9,7 +9,6 @@
 
 pub mod address;
 pub mod attempt;
-pub mod chart;
 pub mod clock;
 pub mod demand;
 pub mod dispatch;
@@ -23,6 +22,7 @@
 pub mod rank;
 pub mod relay;
 pub mod replica;
+pub mod state_chart;
 pub mod table;
 pub mod ticket;
 
--- a/savoryport_core/src/chart.rs
+++ b/savoryport_core/src/state_chart.rs
@@ -11,7 +11,7 @@
 /// A state chart: states, and for each the events that it takes.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Chart {
+pub struct StateChart {
     /// The name of the chart, for messages.
     pub name: Name,
     /// The state in which every instance starts.
@@ -22,7 +22,7 @@
 
 /// Why a chart is refused, or an event has no place in it.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum ChartError {
+pub enum StateChartError {
     /// The file is no chart.
     #[error("not a state chart: {0}")]
     Malformed(String),
@@ -58,25 +58,25 @@
     },
 }
 
-impl Chart {
+impl StateChart {
     /// Reads a chart from JSON and checks it.
     ///
     /// # Errors
     ///
     /// Returns an error for a malformed chart, an unknown target or an unreachable state.
-    pub fn parse(text: &str) -> Result<Arc<Self>, ChartError> {
-        let chart: Self =
-            serde_json::from_str(text).map_err(|err| ChartError::Malformed(err.to_string()))?;
+    pub fn parse(text: &str) -> Result<Arc<Self>, StateChartError> {
+        let chart: Self = serde_json::from_str(text)
+            .map_err(|err| StateChartError::Malformed(err.to_string()))?;
         chart.check_targets()?;
         chart.check_reachable()?;
         Ok(Arc::new(chart))
     }
 
-    fn check_targets(&self) -> Result<(), ChartError> {
+    fn check_targets(&self) -> Result<(), StateChartError> {
         for (state, events) in &self.states {
             for (event, target) in events {
                 if !self.states.contains_key(target) {
-                    return Err(ChartError::UnknownTarget {
+                    return Err(StateChartError::UnknownTarget {
                         chart: self.name.clone(),
                         state: state.clone(),
                         event: event.clone(),
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    fn check_reachable(&self) -> Result<(), ChartError> {
+    fn check_reachable(&self) -> Result<(), StateChartError> {
         let mut reached = BTreeSet::new();
         let mut open = vec![self.initial.clone()];
         while let Some(state) = open.pop() {
@@ -99,7 +99,7 @@
         }
         match self.states.keys().find(|state| !reached.contains(*state)) {
             Some(state) => {
-                Err(ChartError::Unreachable { chart: self.name.clone(), state: state.clone() })
+                Err(StateChartError::Unreachable { chart: self.name.clone(), state: state.clone() })
             }
             None => Ok(()),
         }
@@ -108,14 +108,14 @@
 
 /// One instance of a chart.
 #[derive(Debug, Clone)]
-pub struct Machine {
-    chart: Arc<Chart>,
+pub struct StateMachine {
+    chart: Arc<StateChart>,
     state: Name,
 }
 
-impl Machine {
+impl StateMachine {
     /// Starts an instance in the chart's initial state.
-    pub fn new(chart: Arc<Chart>) -> Self {
+    pub fn new(chart: Arc<StateChart>) -> Self {
         let state = chart.initial.clone();
         Self { chart, state }
     }
@@ -134,14 +134,14 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ChartError::UnexpectedEvent`], and stays, where the state does not take the event.
-    pub fn fire(&mut self, event: &str) -> Result<&str, ChartError> {
+    /// Returns [`StateChartError::UnexpectedEvent`], and stays, where the state does not take the event.
+    pub fn fire(&mut self, event: &str) -> Result<&str, StateChartError> {
         match self.chart.states[&self.state].get(event) {
             Some(target) => {
                 self.state = target.clone();
                 Ok(&self.state)
             }
-            None => Err(ChartError::UnexpectedEvent {
+            None => Err(StateChartError::UnexpectedEvent {
                 chart: self.chart.name.clone(),
                 state: self.state.clone(),
                 event: event.to_owned(),
--- a/savoryport_core/tests/chart.rs
+++ b/savoryport_core/tests/chart.rs
@@ -1,7 +1,7 @@
 //! State charts: loading, refusing and walking them.
 
 use assert_matches::assert_matches;
-use savoryport_core::chart::{Chart, ChartError, Machine};
+use savoryport_core::state_chart::{StateChart, StateChartError, StateMachine};
 
 const CHARTS: [&str; 2] =
     [include_str!("../charts/attempt.json"), include_str!("../charts/lease.json")];
@@ -9,7 +9,7 @@
 #[test]
 fn every_transition_of_every_chart_can_be_walked() {
     for text in CHARTS {
-        let chart = Chart::parse(text).unwrap();
+        let chart = StateChart::parse(text).unwrap();
         let mut walked = 0;
         for (state, events) in &chart.states {
             for (event, target) in events {
@@ -24,32 +24,32 @@
 
 #[test]
 fn an_event_without_a_place_is_refused_and_changes_nothing() {
-    let chart = Chart::parse(CHARTS[0]).unwrap();
-    let mut machine = Machine::new(chart);
-    assert_matches!(machine.fire("finished"), Err(ChartError::UnexpectedEvent { .. }));
+    let chart = StateChart::parse(CHARTS[0]).unwrap();
+    let mut machine = StateMachine::new(chart);
+    assert_matches!(machine.fire("finished"), Err(StateChartError::UnexpectedEvent { .. }));
     assert_eq!(machine.state(), "queued");
 }
 
 #[test]
 fn a_chart_with_an_unreachable_state_is_refused() {
     let text = r#"{"name":"c","initial":"a","states":{"a":{},"b":{}}}"#;
-    assert_matches!(Chart::parse(text), Err(ChartError::Unreachable { state, .. }) if &*state == "b");
+    assert_matches!(StateChart::parse(text), Err(StateChartError::Unreachable { state, .. }) if &*state == "b");
 }
 
 #[test]
 fn a_chart_with_an_unknown_target_is_refused() {
     let text = r#"{"name":"c","initial":"a","states":{"a":{"go":"z"}}}"#;
-    assert_matches!(Chart::parse(text), Err(ChartError::UnknownTarget { .. }));
+    assert_matches!(StateChart::parse(text), Err(StateChartError::UnknownTarget { .. }));
 }
 
 #[test]
 fn a_chart_with_an_unknown_field_is_refused() {
-    assert_matches!(Chart::parse(r#"{"name":"c","x":1}"#), Err(ChartError::Malformed(_)));
+    assert_matches!(StateChart::parse(r#"{"name":"c","x":1}"#), Err(StateChartError::Malformed(_)));
 }
 
 /// Finds a path of events from the initial state, breadth first.
-fn machine_in(chart: &std::sync::Arc<Chart>, state: &str) -> Machine {
-    let mut open = std::collections::VecDeque::from([Machine::new(chart.clone())]);
+fn machine_in(chart: &std::sync::Arc<StateChart>, state: &str) -> StateMachine {
+    let mut open = std::collections::VecDeque::from([StateMachine::new(chart.clone())]);
     let mut seen = std::collections::BTreeSet::new();
     while let Some(machine) = open.pop_front() {
         if machine.state() == state {
