--- a/savoryport/src/entry/answer.rs
+++ b/savoryport/src/entry/answer.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
-use savoryport_core::attempt::Outcome;
+use savoryport_core::request_lifecycle::Outcome;
 use serde_json::{Value, json};
 
 /// The header that names the outcome.
--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -10,10 +10,10 @@
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Method, Response, StatusCode};
 use savoryport_core::Name;
-use savoryport_core::attempt::{Attempt, AttemptEvent, Outcome};
 use savoryport_core::dispatch::{End, RefusalCause, Request, Sample};
 use savoryport_core::hash::prefix_hash;
 use savoryport_core::rank::Rank;
+use savoryport_core::request_lifecycle::{Outcome, RequestEvent, RequestLifecycle};
 use savoryport_core::table::{Kind, Row};
 use savoryport_platform::connection::{Connection, SendError};
 use savoryport_platform::wire::{CompletionRequest, DRAINING_HEADER};
@@ -54,7 +54,7 @@
     rank: Rank,
     arrived: Instant,
     deadline: Instant,
-    attempt: Attempt,
+    attempt: RequestLifecycle,
     servers_tried: u32,
     avoid: SmallVec<[Name; 2]>,
     tokens_sent: u32,
@@ -124,7 +124,7 @@
             cx: cx.clone(),
             path: req.path.clone(),
             caller: req.caller.clone(),
-            attempt: Attempt::new(row.repeatable),
+            attempt: RequestLifecycle::new(row.repeatable),
             row,
             rank,
             arrived,
@@ -170,7 +170,7 @@
         let sample = Sample::under_way(req.prompt_tokens, between_tokens);
         match self.cx.dispatcher.submit(req, sample).await {
             Ok(in_flight) => {
-                self.fire(AttemptEvent::Start);
+                self.fire(RequestEvent::Start);
                 Ok(in_flight)
             }
             Err(Verdict::Refuse(cause, retry_after)) => Err(self.refuse(cause, retry_after)),
@@ -184,7 +184,7 @@
 
     /// Ends the request; the chart knows whether it may have run.
     fn give_up(&mut self, cause: &'static str, retry_after: Duration) -> Refusal {
-        self.fire(AttemptEvent::GiveUp);
+        self.fire(RequestEvent::GiveUp);
         let outcome = self.attempt.outcome().unwrap_or(Outcome::Unknown);
         self.note_end(outcome);
         if outcome == Outcome::NotRun {
@@ -206,18 +206,18 @@
         let mut connection = match cx.pool.connect(&slot.address, true, timeout).await {
             Ok(connection) => connection,
             Err(_) => {
-                self.fire(AttemptEvent::ConnectFailed);
+                self.fire(RequestEvent::ConnectFailed);
                 cx.dispatcher.suspend(&slot.server);
                 return Err(Failure::Engine);
             }
         };
-        self.fire(AttemptEvent::Connected);
+        self.fire(RequestEvent::Connected);
         let handed_at = cx.clock.now();
         let sending = connection.send(self.engine_request(&slot.address));
         let answer = match tokio::time::timeout(self.head_patience(), sending).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(SendError::Broken { .. } | SendError::NotConnected { .. })) | Err(_) => {
-                self.fire(AttemptEvent::Broken);
+                self.fire(RequestEvent::Broken);
                 return Err(Failure::Engine);
             }
         };
@@ -229,12 +229,12 @@
 
     /// An engine that answers with an error status has not begun the request.
     fn on_rejection(&mut self, answer: &Response<Incoming>, in_flight: &InFlight) -> Failure {
-        self.fire(AttemptEvent::Rejected);
+        self.fire(RequestEvent::Rejected);
         if answer.headers().contains_key(DRAINING_HEADER) {
             self.cx.dispatcher.suspend_draining(&in_flight.slot.server);
         }
         if answer.status() == StatusCode::BAD_REQUEST {
-            self.fire(AttemptEvent::GiveUp);
+            self.fire(RequestEvent::GiveUp);
             self.note_end(self.attempt.outcome().unwrap_or(Outcome::Unknown));
             let message = "the engine refused the request as malformed";
             return Failure::Rejected(Refusal::bad(StatusCode::BAD_REQUEST, "malformed", message));
@@ -322,7 +322,7 @@
                 Err(err) => {
                     log::debug!(server = &*in_flight.slot.server, err:%; "stream failed");
                     in_flight.sample.end = End::Failed;
-                    self.fire(AttemptEvent::Broken);
+                    self.fire(RequestEvent::Broken);
                     return match self.may_go_on(&in_flight).await {
                         Ok(()) => Err(()),
                         Err(refusal) => {
@@ -350,7 +350,7 @@
                 return Ok(answer.body(whole(body.to_bytes())).expect("plain headers"));
             }
             in_flight.sample.end = End::Failed;
-            self.fire(AttemptEvent::Broken);
+            self.fire(RequestEvent::Broken);
             self.may_go_on(&in_flight).await?;
             drop(in_flight);
             started = self.start().await?;
@@ -360,7 +360,7 @@
     fn note_token(&mut self, in_flight: &mut InFlight, handed_at: Instant) {
         let now = self.cx.clock.now();
         if in_flight.sample.first_token.is_none() {
-            self.fire(AttemptEvent::FirstByte);
+            self.fire(RequestEvent::FirstByte);
             // A whole answer says nothing about its first token.
             if self.completion.stream {
                 in_flight.sample.first_token = Some(now.saturating_duration_since(handed_at));
@@ -392,7 +392,7 @@
             let gaps = self.tokens_sent.saturating_sub(self.completion.resume_from + 1).max(1);
             sample.between_tokens = Some(sample.total.saturating_sub(first) / gaps);
         }
-        self.fire(AttemptEvent::Finished);
+        self.fire(RequestEvent::Finished);
         self.note_end(Outcome::Done);
     }
 
@@ -406,7 +406,7 @@
         metrics.duration.get_or_create(&labels).observe(time.as_secs_f64());
     }
 
-    fn fire(&mut self, event: AttemptEvent) {
+    fn fire(&mut self, event: RequestEvent) {
         if let Err(err) = self.attempt.on(event) {
             log::error!(err:%; "request left its chart");
         }
--- a/savoryport/src/entry/retry.rs
+++ b/savoryport/src/entry/retry.rs
@@ -1,7 +1,7 @@
 //! Decides whether a request that one server failed is sent to another.
 
 use savoryport_core::Name;
-use savoryport_core::attempt::Attempt;
+use savoryport_core::request_lifecycle::RequestLifecycle;
 
 use super::Context;
 use crate::metrics::CauseLabels;
@@ -14,7 +14,7 @@
 /// The table in force is asked again, since an operator may have changed `repeatable` meanwhile.
 pub(super) async fn may_retry(
     cx: &Context,
-    attempt: &Attempt,
+    attempt: &RequestLifecycle,
     item: &Name,
     servers_tried: u32,
     cause: &'static str,
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -10,9 +10,9 @@
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Response, StatusCode};
 use savoryport_core::Name;
-use savoryport_core::attempt::{Attempt, AttemptEvent, Outcome};
 use savoryport_core::dispatch::{End, Request, Sample};
 use savoryport_core::hash::prefix_hash;
+use savoryport_core::request_lifecycle::{Outcome, RequestEvent, RequestLifecycle};
 use savoryport_core::table::{Kind, Row};
 use savoryport_core::ticket::{Admission, Ticket};
 use savoryport_platform::wire::{DRAINING_HEADER, REQUEST_ID_HEADER};
@@ -60,7 +60,7 @@
     row: Row,
     request_id: String,
     identity: Identity,
-    attempt: Attempt,
+    attempt: RequestLifecycle,
     arrived: Instant,
     avoid: SmallVec<[Name; 2]>,
     servers_tried: u32,
@@ -80,7 +80,7 @@
     };
     let call = Call {
         cx: cx.clone(),
-        attempt: Attempt::new(row.repeatable),
+        attempt: RequestLifecycle::new(row.repeatable),
         arrived: cx.clock.now(),
         row,
         req,
@@ -237,7 +237,7 @@
         let targets = Sample::under_way(0, Duration::MAX);
         match self.cx.dispatcher.submit(req, targets).await {
             Ok(in_flight) => {
-                self.fire(AttemptEvent::Start);
+                self.fire(RequestEvent::Start);
                 Ok(in_flight)
             }
             Err(Verdict::Refuse(cause, retry_after)) => {
@@ -255,11 +255,11 @@
         let timeout = Duration::from_millis(cx.settings.connect_timeout_ms);
         let connecting = cx.pool.connect(&slot.address, self.row.repeatable, timeout);
         let Ok(mut connection) = connecting.await else {
-            self.fire(AttemptEvent::ConnectFailed);
+            self.fire(RequestEvent::ConnectFailed);
             cx.dispatcher.suspend(&slot.server);
             return None;
         };
-        self.fire(AttemptEvent::Connected);
+        self.fire(RequestEvent::Connected);
         let timeout = Duration::from_millis(cx.settings.service_timeout_ms);
         let exchange = async {
             let answer = connection.send(self.service_request(&slot.address)).await.ok()?;
@@ -269,15 +269,15 @@
         };
         let Some((head, body)) = tokio::time::timeout(timeout, exchange).await.ok().flatten()
         else {
-            self.fire(AttemptEvent::Broken);
+            self.fire(RequestEvent::Broken);
             return None;
         };
         if head.headers.contains_key(DRAINING_HEADER) {
-            self.fire(AttemptEvent::Rejected);
+            self.fire(RequestEvent::Rejected);
             cx.dispatcher.suspend_draining(&slot.server);
             return None;
         }
-        self.fire(AttemptEvent::Finished);
+        self.fire(RequestEvent::Finished);
         cx.pool.give_back(connection);
         Some(pass_on(&Response::from_parts(head, ()), body))
     }
@@ -305,7 +305,7 @@
 
     /// Ends the call; one that certainly did not run may be sent again under the same identity.
     fn give_up(&mut self, cause: &'static str, retry_after: Duration) -> Refusal {
-        self.fire(AttemptEvent::GiveUp);
+        self.fire(RequestEvent::GiveUp);
         let outcome = self.attempt.outcome().unwrap_or(Outcome::Unknown);
         self.note_end(outcome);
         if outcome != Outcome::NotRun {
@@ -331,7 +331,7 @@
         metrics.duration.get_or_create(&labels).observe(time.as_secs_f64());
     }
 
-    fn fire(&mut self, event: AttemptEvent) {
+    fn fire(&mut self, event: RequestEvent) {
         if let Err(err) = self.attempt.on(event) {
             log::error!(err:%; "call left its chart");
         }
--- a/savoryport_core/src/lib.rs
+++ b/savoryport_core/src/lib.rs
@@ -8,7 +8,6 @@
 mod macros;
 
 pub mod address;
-pub mod attempt;
 pub mod clock;
 pub mod demand;
 pub mod dispatch;
@@ -22,6 +21,7 @@
 pub mod rank;
 pub mod relay;
 pub mod replica;
+pub mod request_lifecycle;
 pub mod state_chart;
 pub mod table;
 pub mod ticket;
--- a/savoryport_core/src/attempt.rs
+++ b/savoryport_core/src/request_lifecycle.rs
@@ -38,7 +38,7 @@
 
 key! {
     /// What happened to the request.
-    pub enum AttemptEvent {
+    pub enum RequestEvent {
         /// A backend server was chosen.
         Start,
         /// A connection to it stands; the request's bytes leave next.
@@ -58,7 +58,7 @@
     }
 }
 
-impl AttemptEvent {
+impl RequestEvent {
     /// Every event, for walks over the chart.
     pub const ALL: [Self; 8] = [
         Self::Start,
@@ -87,15 +87,15 @@
 
 /// One request from its arrival to its final answer.
 #[derive(Debug, Clone)]
-pub struct Attempt {
+pub struct RequestLifecycle {
     machine: StateMachine,
     repeatable: bool,
 }
 
-impl Attempt {
+impl RequestLifecycle {
     /// Starts with a request that waits in the queue.
     ///
-    /// `repeatable` holds the table's word at the arrival; [`Attempt::may_retry`] also asks the
+    /// `repeatable` holds the table's word at the arrival; [`RequestLifecycle::may_retry`] also asks the
     /// table in force at the retry, since an operator may have changed it meanwhile.
     pub fn new(repeatable: bool) -> Self {
         Self { machine: StateMachine::new(CHART.clone()), repeatable }
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// Returns an error where the event has no place in the present state.
-    pub fn on(&mut self, event: AttemptEvent) -> Result<(), StateChartError> {
+    pub fn on(&mut self, event: RequestEvent) -> Result<(), StateChartError> {
         self.machine.fire(event.name()).map(drop)
     }
 
--- a/savoryport_core/tests/attempt.rs
+++ b/savoryport_core/tests/attempt.rs
@@ -1,14 +1,14 @@
 //! What a caller may be told about its request.
 
 use proptest::prelude::*;
-use savoryport_core::attempt::{Attempt, AttemptEvent, Outcome};
+use savoryport_core::request_lifecycle::{Outcome, RequestEvent, RequestLifecycle};
 
-use AttemptEvent::{
+use RequestEvent::{
     Broken, ConnectFailed, Connected, Finished, FirstByte, GiveUp, Rejected, Start,
 };
 
-fn outcome_after(repeatable: bool, events: &[AttemptEvent]) -> Option<Outcome> {
-    let mut attempt = Attempt::new(repeatable);
+fn outcome_after(repeatable: bool, events: &[RequestEvent]) -> Option<Outcome> {
+    let mut attempt = RequestLifecycle::new(repeatable);
     for event in events {
         attempt.on(*event).unwrap();
     }
@@ -17,7 +17,7 @@
 
 #[test]
 fn outcomes_of_the_usual_courses() {
-    let cases: [(&[AttemptEvent], Outcome); 8] = [
+    let cases: [(&[RequestEvent], Outcome); 8] = [
         (&[GiveUp], Outcome::NotRun),
         (&[Start, ConnectFailed, GiveUp], Outcome::NotRun),
         (&[Start, Connected, Rejected, GiveUp], Outcome::NotRun),
@@ -38,7 +38,7 @@
     for (then, now, expected) in
         [(true, true, true), (true, false, false), (false, true, false), (false, false, false)]
     {
-        let mut attempt = Attempt::new(then);
+        let mut attempt = RequestLifecycle::new(then);
         for event in [Start, Connected, Broken] {
             attempt.on(event).unwrap();
         }
@@ -51,9 +51,9 @@
     /// request that may not repeat is never handed over twice after it may have run.
     #[test]
     fn not_run_is_exact(events in prop::collection::vec(0..8_usize, 0..30), repeatable: bool) {
-        let mut attempt = Attempt::new(repeatable);
+        let mut attempt = RequestLifecycle::new(repeatable);
         let (mut is_connecting, mut is_handed, mut may_have_run) = (false, false, false);
-        for event in events.into_iter().map(|at| AttemptEvent::ALL[at]) {
+        for event in events.into_iter().map(|at| RequestEvent::ALL[at]) {
             // The driver starts a request only where the chart's rules allow it.
             if event == Start && !attempt.may_retry(repeatable) {
                 continue;
