--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -407,7 +407,7 @@
     }
 
     fn fire(&mut self, event: RequestEvent) {
-        if let Err(err) = self.attempt.on(event) {
+        if let Err(err) = self.attempt.on_event(event) {
             log::error!(err:%; "request left its chart");
         }
     }
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -332,7 +332,7 @@
     }
 
     fn fire(&mut self, event: RequestEvent) {
-        if let Err(err) = self.attempt.on(event) {
+        if let Err(err) = self.attempt.on_event(event) {
             log::error!(err:%; "call left its chart");
         }
     }
--- a/savoryport_core/src/request_lifecycle.rs
+++ b/savoryport_core/src/request_lifecycle.rs
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// Returns an error where the event has no place in the present state.
-    pub fn on(&mut self, event: RequestEvent) -> Result<(), StateChartError> {
+    pub fn on_event(&mut self, event: RequestEvent) -> Result<(), StateChartError> {
         self.machine.fire(event.name()).map(drop)
     }
 
--- a/savoryport_core/tests/attempt.rs
+++ b/savoryport_core/tests/attempt.rs
@@ -10,7 +10,7 @@
 fn outcome_after(repeatable: bool, events: &[RequestEvent]) -> Option<Outcome> {
     let mut attempt = RequestLifecycle::new(repeatable);
     for event in events {
-        attempt.on(*event).unwrap();
+        attempt.on_event(*event).unwrap();
     }
     attempt.outcome()
 }
@@ -40,7 +40,7 @@
     {
         let mut attempt = RequestLifecycle::new(then);
         for event in [Start, Connected, Broken] {
-            attempt.on(event).unwrap();
+            attempt.on_event(event).unwrap();
         }
         assert_eq!(attempt.may_retry(now), expected, "repeatable then {then}, now {now}");
     }
@@ -58,7 +58,7 @@
             if event == Start && !attempt.may_retry(repeatable) {
                 continue;
             }
-            if attempt.on(event).is_err() {
+            if attempt.on_event(event).is_err() {
                 continue;
             }
             match event {
