--- a/savoryport/src/control/leases.rs
+++ b/savoryport/src/control/leases.rs
@@ -103,10 +103,10 @@
     async fn renew(&mut self, now: Instant) {
         let Some(id) = self.held.id else { return };
         match self.cx.platform.keep_alive(id).await {
-            Ok(true) => self.held.lease.renewed(now),
+            Ok(true) => self.held.lease.on_renewed(now),
             Ok(false) => {
                 log::warn!(groups = self.held.groups.len(); "leases lapsed");
-                self.held.lease.lost();
+                self.held.lease.on_lost();
                 self.held.groups.clear();
                 self.held.id = None;
             }
@@ -191,13 +191,13 @@
     async fn lease_id(&mut self, asked_at: Instant) -> Option<LeaseId> {
         if self.held.id.is_none() {
             let time_to_live = Duration::from_millis(self.cx.settings.lease_ttl_ms);
-            self.held.lease.acquire();
+            self.held.lease.on_acquire_sent();
             match self.cx.platform.grant_lease(time_to_live).await {
                 Ok(id) => {
-                    self.held.lease.won(asked_at);
+                    self.held.lease.on_acquired(asked_at);
                     self.held.id = Some(id);
                 }
-                Err(_) => self.held.lease.lost(),
+                Err(_) => self.held.lease.on_lost(),
             }
         }
         self.held.id
--- a/savoryport_core/src/lease.rs
+++ b/savoryport_core/src/lease.rs
@@ -31,25 +31,25 @@
     }
 
     /// Notes that a request for the lease was sent.
-    pub fn acquire(&mut self) {
+    pub fn on_acquire_sent(&mut self) {
         self.fire("acquire");
     }
 
     /// Notes that the lease was won by a request sent at `asked_at`.
-    pub fn won(&mut self, asked_at: Instant) {
+    pub fn on_acquired(&mut self, asked_at: Instant) {
         self.fire("won");
         self.extend(asked_at);
     }
 
     /// Notes that somebody else has the lease, or that the service did not answer.
-    pub fn lost(&mut self) {
+    pub fn on_lost(&mut self) {
         let event = if self.machine.state() == "held" { "lapsed" } else { "lost" };
         self.fire(event);
         self.good_until = None;
     }
 
     /// Notes a renewal that was sent at `asked_at`.
-    pub fn renewed(&mut self, asked_at: Instant) {
+    pub fn on_renewed(&mut self, asked_at: Instant) {
         self.fire("renewed");
         self.extend(asked_at);
     }
--- a/savoryport_core/src/node/duty.rs
+++ b/savoryport_core/src/node/duty.rs
@@ -31,20 +31,20 @@
         now: Instant,
         hand_over: Duration,
     ) {
-        self.lease.acquire();
-        self.lease.won(asked_at);
+        self.lease.on_acquire_sent();
+        self.lease.on_acquired(asked_at);
         self.fencing_token = fencing_token;
         self.acts_from = Some(now + hand_over);
     }
 
     /// Notes a renewal that was sent at `asked_at`.
     pub fn renewed(&mut self, asked_at: Instant) {
-        self.lease.renewed(asked_at);
+        self.lease.on_renewed(asked_at);
     }
 
     /// Notes that the duty is lost or given up.
     pub fn lost(&mut self) {
-        self.lease.lost();
+        self.lease.on_lost();
         self.acts_from = None;
     }
 
