--- a/savoryport/src/control/stewards.rs
+++ b/savoryport/src/control/stewards.rs
@@ -6,10 +6,10 @@
 
 use savoryport_core::Name;
 use savoryport_core::fleet::Vm;
-use savoryport_core::grant;
 use savoryport_core::ledger::{
     HolderId, Order, OrderKind, ServerRecord, Step, Steward, Wishes, WriteAnswer,
 };
+use savoryport_core::load_slots;
 use savoryport_core::replica::{Replica, Residency};
 use savoryport_platform::engine::EngineClient;
 use savoryport_platform::kv::{PutAnswer, Revision};
@@ -68,7 +68,7 @@
     groups.sort();
     groups.dedup();
     let index = groups.iter().position(|other| *other == group).unwrap_or(0);
-    let share = grant::share(cx.settings.weight_store_slots, groups.len(), index);
+    let share = load_slots::slots_for_group(cx.settings.weight_store_slots, groups.len(), index);
     // A group without a slot could never load anything; better that loads take longer.
     Arc::new(Semaphore::new(share.max(1) as usize))
 }
--- a/savoryport_core/src/grant.rs
+++ b/savoryport_core/src/load_slots.rs
@@ -8,7 +8,7 @@
 ///
 /// The shares of all groups add up to `slots` where there are at least as many slots as groups.
 /// Fewer slots than groups leave some groups with none; the order of the groups then decides.
-pub fn share(slots: u32, groups: usize, index: usize) -> u32 {
+pub fn slots_for_group(slots: u32, groups: usize, index: usize) -> u32 {
     let groups = groups.max(1) as u32;
     let index = index as u32;
     slots / groups + u32::from(index < slots % groups)
