--- a/savoryport/src/control/stewards.rs
+++ b/savoryport/src/control/stewards.rs
@@ -7,7 +7,7 @@
 use savoryport_core::Name;
 use savoryport_core::fleet::Vm;
 use savoryport_core::ledger::{
-    HolderId, Order, OrderKind, ServerRecord, Step, Steward, Wishes, WriteAnswer,
+    HolderId, Order, OrderKind, Reconciler, ServerRecord, Step, Wishes, WriteAnswer,
 };
 use savoryport_core::load_slots;
 use savoryport_core::replica::{Replica, Residency};
@@ -78,7 +78,7 @@
     held: HeldReceiver,
     vm: Vm,
     engine: EngineClient,
-    steward: Steward,
+    steward: Reconciler,
     slots: Arc<Semaphore>,
     permit: Option<OwnedSemaphorePermit>,
     silent_since: Option<Instant>,
@@ -96,7 +96,7 @@
         let timeout = Duration::from_millis(cx.settings.order_timeout_ms);
         Self {
             engine: EngineClient::new(&vm.address, timeout),
-            steward: Steward::new(me.clone()),
+            steward: Reconciler::new(me.clone()),
             cx: cx.clone(),
             held: held.clone(),
             vm: vm.clone(),
--- a/savoryport_core/src/ledger/mod.rs
+++ b/savoryport_core/src/ledger/mod.rs
@@ -4,11 +4,11 @@
 //! ordered before its reservation stands there, and nothing is released while an order that could
 //! still load it may arrive. `docs/DESIGN.md` gives the failures behind each rule.
 
+mod reconciler;
 mod record;
-mod steward;
 
+pub use self::reconciler::{OrderAnswer, Reconciler, Step, WantedItem, Wishes, WriteAnswer};
 pub use self::record::{
     EngineItem, EngineState, HolderId, ItemState, Order, OrderKind, Reach, Reservation,
     ReservationState, ServerRecord, Stray,
 };
-pub use self::steward::{OrderAnswer, Step, Steward, WantedItem, Wishes, WriteAnswer};
--- a/savoryport_core/src/ledger/steward.rs
+++ b/savoryport_core/src/ledger/reconciler.rs
@@ -83,7 +83,7 @@
 
 /// Drives one server.
 #[derive(Debug, Clone)]
-pub struct Steward {
+pub struct Reconciler {
     me: HolderId,
     cached: Option<(ServerRecord, u64)>,
     engine: Option<EngineState>,
@@ -95,7 +95,7 @@
     doubtful_base: Option<u64>,
 }
 
-impl Steward {
+impl Reconciler {
     /// Starts without any knowledge of the server.
     pub fn new(me: HolderId) -> Self {
         Self {
--- a/savoryport_core/tests/ledger_cases.rs
+++ b/savoryport_core/tests/ledger_cases.rs
@@ -1,8 +1,8 @@
 //! Single courses of the steward, among them the failures that the search has found.
 
 use savoryport_core::ledger::{
-    EngineItem, EngineState, HolderId, ItemState, Order, OrderAnswer, OrderKind, ServerRecord,
-    Step, Steward, WantedItem, Wishes, WriteAnswer,
+    EngineItem, EngineState, HolderId, ItemState, Order, OrderAnswer, OrderKind, Reconciler,
+    ServerRecord, Step, WantedItem, Wishes, WriteAnswer,
 };
 
 const CAPACITY_MIB: u32 = 100;
@@ -15,7 +15,7 @@
     WantedItem { name: name.into(), base: None, memory_mib }
 }
 
-fn next(steward: &mut Steward, items: &[WantedItem], may_unload: bool) -> Step {
+fn next(steward: &mut Reconciler, items: &[WantedItem], may_unload: bool) -> Step {
     steward.next(&Wishes {
         plan_version: 1,
         items,
@@ -35,14 +35,14 @@
 
 /// A steward that holds a server and whose engine, which ignores fencing, has shown itself.
 struct Bench {
-    steward: Steward,
+    steward: Reconciler,
     revision: u64,
     may_unload: bool,
 }
 
 impl Bench {
     fn new() -> Self {
-        let mut steward = Steward::new(me());
+        let mut steward = Reconciler::new(me());
         steward.on_read(ServerRecord::new(CAPACITY_MIB, false), 1);
         Self { steward, revision: 1, may_unload: true }
     }
@@ -133,7 +133,7 @@
 
 #[test]
 fn without_the_lease_nothing_is_done() {
-    let mut steward = Steward::new(me());
+    let mut steward = Reconciler::new(me());
     steward.on_read(ServerRecord::new(CAPACITY_MIB, true), 1);
     let items = [wanted("a", 60)];
     let step = steward.next(&Wishes {
--- a/savoryport_core/tests/ledger_search.rs
+++ b/savoryport_core/tests/ledger_search.rs
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use savoryport_core::ledger::{
-    EngineState, HolderId, Order, OrderAnswer, ServerRecord, Step, Steward, WantedItem, Wishes,
+    EngineState, HolderId, Order, OrderAnswer, Reconciler, ServerRecord, Step, WantedItem, Wishes,
     WriteAnswer,
 };
 
@@ -31,7 +31,7 @@
 
 /// A control process, with the one step that it has under way.
 struct Control {
-    steward: Steward,
+    steward: Reconciler,
     /// A step that was decided and not yet carried out: a pause may come in between.
     decided: Option<Step>,
     answer: Option<Answer>,
@@ -47,7 +47,7 @@
 impl Control {
     fn new(vm: usize, incarnation: u64) -> Self {
         let id = HolderId { vm: format!("vm-{vm}").into(), incarnation };
-        let steward = Steward::new(id);
+        let steward = Reconciler::new(id);
         Self { steward, decided: None, answer: None, believes_in_lease: false }
     }
 }
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -11,7 +11,9 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use savoryport_core::Name;
-use savoryport_core::ledger::{HolderId, Order, ServerRecord, Step, Steward, Wishes, WriteAnswer};
+use savoryport_core::ledger::{
+    HolderId, Order, Reconciler, ServerRecord, Step, Wishes, WriteAnswer,
+};
 use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{Replica, Residency, Update};
@@ -30,7 +32,7 @@
     record: ServerRecord,
     revision: u64,
     engine: FakeEngine,
-    steward: Steward,
+    steward: Reconciler,
     incarnation: u64,
     view: Replica,
     late: Vec<Order>,
@@ -102,7 +104,7 @@
             record: ServerRecord::new(CAPACITY_MIB, true),
             revision: 1,
             engine: FakeEngine::new(CAPACITY_MIB, true),
-            steward: Steward::new(HolderId { vm: format!("vm-{at}").into(), incarnation: 1 }),
+            steward: Reconciler::new(HolderId { vm: format!("vm-{at}").into(), incarnation: 1 }),
             incarnation: 1,
             view: Replica::default(),
             late: Vec::new(),
@@ -189,7 +191,7 @@
         let server = &mut self.servers[at];
         server.incarnation += 1;
         let id = HolderId { vm: format!("vm-{at}").into(), incarnation: server.incarnation };
-        server.steward = Steward::new(id);
+        server.steward = Reconciler::new(id);
     }
 }
 
