--- a/savoryport/src/control/stewards.rs
+++ b/savoryport/src/control/stewards.rs
@@ -7,7 +7,7 @@
 use savoryport_core::Name;
 use savoryport_core::fleet::Vm;
 use savoryport_core::ledger::{
-    HolderId, Order, OrderKind, Reconciler, ServerRecord, Step, Wishes, WriteAnswer,
+    HolderId, Order, OrderKind, ReconcileInput, Reconciler, ServerRecord, Step, WriteAnswer,
 };
 use savoryport_core::load_slots;
 use savoryport_core::replica::{Replica, Residency};
@@ -135,7 +135,7 @@
         let items = replica.plan.wanted(server, &replica.table);
         let may_unload = |item: &str| replica.may_unload(server, item);
         let is_gone = |holder: &HolderId| is_gone(&replica, holder);
-        let step = self.steward.next(&Wishes {
+        let step = self.steward.next(&ReconcileInput {
             plan_version: replica.plan.version,
             items: &items,
             may_unload: &may_unload,
--- a/savoryport_core/src/ledger/mod.rs
+++ b/savoryport_core/src/ledger/mod.rs
@@ -7,7 +7,9 @@
 mod reconciler;
 mod record;
 
-pub use self::reconciler::{OrderAnswer, Reconciler, Step, WantedItem, Wishes, WriteAnswer};
+pub use self::reconciler::{
+    OrderAnswer, ReconcileInput, Reconciler, Step, WantedItem, WriteAnswer,
+};
 pub use self::record::{
     EngineItem, EngineState, HolderId, ItemState, Order, OrderKind, Reach, Reservation,
     ReservationState, ServerRecord, Stray,
--- a/savoryport_core/src/ledger/reconciler.rs
+++ b/savoryport_core/src/ledger/reconciler.rs
@@ -26,7 +26,7 @@
 }
 
 /// What the steward works towards.
-pub struct Wishes<'a> {
+pub struct ReconcileInput<'a> {
     /// The version of the plan.
     pub plan_version: u64,
     /// What the plan wants on the server, a base before its adapters.
@@ -171,7 +171,7 @@
     }
 
     /// Decides the next step.
-    pub fn next(&mut self, wishes: &Wishes<'_>) -> Step {
+    pub fn next(&mut self, wishes: &ReconcileInput<'_>) -> Step {
         let Some((record, revision)) = self.cached.clone() else { return Step::Read };
         if self.doubtful_base == Some(revision) && wishes.may_act {
             // Writing the record as it stands keeps the doubtful write from taking effect later,
@@ -228,7 +228,7 @@
         &mut self,
         record: &ServerRecord,
         engine: &EngineState,
-        wishes: &Wishes<'_>,
+        wishes: &ReconcileInput<'_>,
     ) -> ServerRecord {
         let mut record = record.clone();
         bind_closed_strays(&mut record, engine.incarnation);
@@ -373,18 +373,22 @@
     record: &ServerRecord,
     engine: &EngineState,
     me: &HolderId,
-    wishes: &Wishes<'_>,
+    wishes: &ReconcileInput<'_>,
 ) -> Option<ServerRecord> {
     next_unload(record, me, wishes)
         .or_else(|| next_load(record, me, wishes))
         .or_else(|| drop_unwanted_reservation(record, engine, wishes))
 }
 
-fn is_wanted(wishes: &Wishes<'_>, item: &str) -> bool {
+fn is_wanted(wishes: &ReconcileInput<'_>, item: &str) -> bool {
     wishes.items.iter().any(|wanted| &*wanted.name == item)
 }
 
-fn next_unload(record: &ServerRecord, me: &HolderId, wishes: &Wishes<'_>) -> Option<ServerRecord> {
+fn next_unload(
+    record: &ServerRecord,
+    me: &HolderId,
+    wishes: &ReconcileInput<'_>,
+) -> Option<ServerRecord> {
     let at = record.reservations.iter().position(|reservation| {
         reservation.state == ReservationState::Loaded
             && !is_wanted(wishes, &reservation.item)
@@ -406,7 +410,11 @@
     Some(record)
 }
 
-fn next_load(record: &ServerRecord, me: &HolderId, wishes: &Wishes<'_>) -> Option<ServerRecord> {
+fn next_load(
+    record: &ServerRecord,
+    me: &HolderId,
+    wishes: &ReconcileInput<'_>,
+) -> Option<ServerRecord> {
     if !wishes.may_load {
         return None;
     }
@@ -450,7 +458,7 @@
 fn drop_unwanted_reservation(
     record: &ServerRecord,
     engine: &EngineState,
-    wishes: &Wishes<'_>,
+    wishes: &ReconcileInput<'_>,
 ) -> Option<ServerRecord> {
     let is_unwanted = |reservation: &Reservation| {
         reservation.state == ReservationState::Reserved
--- a/savoryport_core/tests/ledger_search.rs
+++ b/savoryport_core/tests/ledger_search.rs
@@ -12,8 +12,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use savoryport_core::ledger::{
-    EngineState, HolderId, Order, OrderAnswer, Reconciler, ServerRecord, Step, WantedItem, Wishes,
-    WriteAnswer,
+    EngineState, HolderId, Order, OrderAnswer, ReconcileInput, Reconciler, ServerRecord, Step,
+    WantedItem, WriteAnswer,
 };
 
 use fake_engine::FakeEngine;
@@ -137,7 +137,7 @@
             holder.incarnation < incarnations[vm]
         };
         let control = &mut self.controls[at];
-        let step = control.steward.next(&Wishes {
+        let step = control.steward.next(&ReconcileInput {
             plan_version: self.plan_version,
             items: &self.wanted,
             may_unload: &|_| true,
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use savoryport_core::Name;
 use savoryport_core::ledger::{
-    HolderId, Order, Reconciler, ServerRecord, Step, Wishes, WriteAnswer,
+    HolderId, Order, ReconcileInput, Reconciler, ServerRecord, Step, WriteAnswer,
 };
 use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
 use savoryport_core::rank::Rank;
@@ -42,7 +42,7 @@
     fn step(&mut self, rng: &mut SmallRng) {
         let items = self.view.plan.wanted(&self.name, &self.view.table);
         let incarnation = self.incarnation;
-        let step = self.steward.next(&Wishes {
+        let step = self.steward.next(&ReconcileInput {
             plan_version: self.view.plan.version,
             items: &items,
             may_unload: &|item| self.view.may_unload(&self.name, item),
