--- a/savoryport/src/control/stewards.rs
+++ b/savoryport/src/control/stewards.rs
@@ -7,7 +7,7 @@
 use savoryport_core::Name;
 use savoryport_core::fleet::Vm;
 use savoryport_core::ledger::{
-    HolderId, Order, OrderKind, ReconcileInput, Reconciler, ServerRecord, Step, WriteAnswer,
+    HolderId, Order, OrderKind, ReconcileInput, Reconciler, ServerRecord, Step, WriteResult,
 };
 use savoryport_core::load_slots;
 use savoryport_core::replica::{Replica, Residency};
@@ -180,15 +180,15 @@
         let answer = match self.cx.platform.put_if(&key, value, revision, None).await {
             Ok(PutAnswer::Written(revision)) => {
                 self.cx.hub.add_residency(&self.vm.name, Residency::of(&record, revision));
-                WriteAnswer::Written(revision)
+                WriteResult::Written(revision)
             }
             Ok(PutAnswer::Conflict) => {
                 self.cx.metrics.write_conflicts.inc();
-                WriteAnswer::Conflict
+                WriteResult::Conflict
             }
             Err(_) => {
                 tokio::time::sleep(RETRY_PAUSE).await;
-                WriteAnswer::Unknown
+                WriteResult::Unknown
             }
         };
         self.steward.on_write(record, answer);
--- a/savoryport_core/src/ledger/reconciler.rs
+++ b/savoryport_core/src/ledger/reconciler.rs
@@ -63,7 +63,7 @@
 
 /// What came of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteAnswer {
+pub enum WriteResult {
     /// The record stands, at this revision.
     Written(u64),
     /// Somebody else wrote first.
@@ -137,12 +137,12 @@
     }
 
     /// Takes the answer to a write.
-    pub fn on_write(&mut self, record: ServerRecord, answer: WriteAnswer) {
+    pub fn on_write(&mut self, record: ServerRecord, answer: WriteResult) {
         let base = self.cached.take().map(|(_, revision)| revision);
         match answer {
-            WriteAnswer::Written(revision) => self.cached = Some((record, revision)),
-            WriteAnswer::Conflict => {}
-            WriteAnswer::Unknown => self.doubtful_base = base,
+            WriteResult::Written(revision) => self.cached = Some((record, revision)),
+            WriteResult::Conflict => {}
+            WriteResult::Unknown => self.doubtful_base = base,
         }
     }
 
--- a/savoryport_core/tests/ledger_cases.rs
+++ b/savoryport_core/tests/ledger_cases.rs
@@ -2,7 +2,7 @@
 
 use savoryport_core::ledger::{
     EngineItem, EngineState, HolderId, ItemState, Order, OrderAnswer, OrderKind, ReconcileInput,
-    Reconciler, ServerRecord, Step, WantedItem, WriteAnswer,
+    Reconciler, ServerRecord, Step, WantedItem, WriteResult,
 };
 
 const CAPACITY_MIB: u32 = 100;
@@ -54,7 +54,7 @@
                 Step::Write { record, revision } => {
                     assert_eq!(revision, self.revision);
                     self.revision += 1;
-                    self.steward.on_write(record, WriteAnswer::Written(self.revision));
+                    self.steward.on_write(record, WriteResult::Written(self.revision));
                 }
                 Step::Query => self.steward.on_query(state.clone()),
                 step => return step,
@@ -115,7 +115,7 @@
     let Step::Write { record, .. } = next(&mut bench.steward, &items, true) else {
         panic!("the settled order was to be written");
     };
-    bench.steward.on_write(record, WriteAnswer::Unknown);
+    bench.steward.on_write(record, WriteResult::Unknown);
     assert_eq!(next(&mut bench.steward, &items, true), Step::Read);
     bench.steward.on_read(before.clone(), revision);
     // The record is written as it stands, so that the doubtful write cannot come later.
--- a/savoryport_core/tests/ledger_search.rs
+++ b/savoryport_core/tests/ledger_search.rs
@@ -13,7 +13,7 @@
 use rand::{RngExt, SeedableRng};
 use savoryport_core::ledger::{
     EngineState, HolderId, Order, OrderAnswer, ReconcileInput, Reconciler, ServerRecord, Step,
-    WantedItem, WriteAnswer,
+    WantedItem, WriteResult,
 };
 
 use fake_engine::FakeEngine;
@@ -177,22 +177,22 @@
         if fate == 0 {
             // Not answered, and applied later or never.
             self.late_writes.push((record.clone(), revision));
-            self.controls[at].steward.on_write(record, WriteAnswer::Unknown);
+            self.controls[at].steward.on_write(record, WriteResult::Unknown);
             return;
         }
         let answer = self.apply_write(&record, revision);
         // The answer may be lost after the write took effect.
-        let answer = if fate == 1 { WriteAnswer::Unknown } else { answer };
+        let answer = if fate == 1 { WriteResult::Unknown } else { answer };
         self.controls[at].steward.on_write(record, answer);
     }
 
-    fn apply_write(&mut self, record: &ServerRecord, revision: u64) -> WriteAnswer {
+    fn apply_write(&mut self, record: &ServerRecord, revision: u64) -> WriteResult {
         if revision != self.revision {
-            return WriteAnswer::Conflict;
+            return WriteResult::Conflict;
         }
         self.record = record.clone();
         self.revision += 1;
-        WriteAnswer::Written(self.revision)
+        WriteResult::Written(self.revision)
     }
 
     fn send(&mut self, at: usize, order: &Order) {
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use savoryport_core::Name;
 use savoryport_core::ledger::{
-    HolderId, Order, ReconcileInput, Reconciler, ServerRecord, Step, WriteAnswer,
+    HolderId, Order, ReconcileInput, Reconciler, ServerRecord, Step, WriteResult,
 };
 use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
 use savoryport_core::rank::Rank;
@@ -57,8 +57,8 @@
                 self.record = record.clone();
                 self.revision += 1;
                 let is_lost = rng.random_bool(0.1);
-                let answer = WriteAnswer::Written(self.revision);
-                self.steward.on_write(record, if is_lost { WriteAnswer::Unknown } else { answer });
+                let answer = WriteResult::Written(self.revision);
+                self.steward.on_write(record, if is_lost { WriteResult::Unknown } else { answer });
             }
             Step::Send(order) => {
                 self.steward.on_send(&order);
