--- a/savoryport_core/src/ledger/mod.rs
+++ b/savoryport_core/src/ledger/mod.rs
@@ -8,7 +8,7 @@
 mod record;
 
 pub use self::reconciler::{
-    OrderAnswer, ReconcileInput, Reconciler, Step, WantedItem, WriteResult,
+    OrderResponse, ReconcileInput, Reconciler, Step, WantedItem, WriteResult,
 };
 pub use self::record::{
     EngineItem, EngineState, HolderId, ItemState, Order, OrderKind, Reach, Reservation,
--- a/savoryport_core/src/ledger/reconciler.rs
+++ b/savoryport_core/src/ledger/reconciler.rs
@@ -74,9 +74,9 @@
 
 /// What the engine answered to an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// The order was taken; the state follows it.
-    Taken(EngineState),
+    Accepted(EngineState),
     /// The engine refused the order, for its fencing number or for lack of memory.
     Refused(EngineState),
 }
@@ -152,13 +152,13 @@
     }
 
     /// Takes the answer to an order; without an answer nothing is reported, and it counts as stray.
-    pub fn on_answer(&mut self, order: &Order, answer: OrderAnswer) {
+    pub fn on_answer(&mut self, order: &Order, answer: OrderResponse) {
         if let Some(unanswered) = self.sent.get_mut(&order.fence) {
             *unanswered = unanswered.saturating_sub(1);
         }
         match answer {
-            OrderAnswer::Taken(state) => self.engine = Some(state),
-            OrderAnswer::Refused(state) => {
+            OrderResponse::Accepted(state) => self.engine = Some(state),
+            OrderResponse::Refused(state) => {
                 self.refused = Some(order.fence);
                 self.engine = Some(state);
             }
--- a/savoryport_core/tests/fake_engine/mod.rs
+++ b/savoryport_core/tests/fake_engine/mod.rs
@@ -6,7 +6,9 @@
 use std::collections::BTreeMap;
 
 use savoryport_core::Name;
-use savoryport_core::ledger::{EngineItem, EngineState, ItemState, Order, OrderAnswer, OrderKind};
+use savoryport_core::ledger::{
+    EngineItem, EngineState, ItemState, Order, OrderKind, OrderResponse,
+};
 
 /// An engine that keeps its own count.
 pub struct FakeEngine {
@@ -54,9 +56,9 @@
     }
 
     /// Carries an order out, or refuses it for its fencing number.
-    pub fn carry_out(&mut self, order: &Order) -> OrderAnswer {
+    pub fn carry_out(&mut self, order: &Order) -> OrderResponse {
         if self.checks_fencing && order.fence < self.highest_fence {
-            return OrderAnswer::Refused(self.state());
+            return OrderResponse::Refused(self.state());
         }
         self.highest_fence = order.fence;
         match order.kind {
@@ -67,7 +69,7 @@
         }
         let used: u32 = self.items.values().map(|(mib, _)| mib).sum();
         self.overcommitted |= used > self.capacity_mib;
-        OrderAnswer::Taken(self.state())
+        OrderResponse::Accepted(self.state())
     }
 
     /// Returns what the engine says of itself.
--- a/savoryport_core/tests/ledger_cases.rs
+++ b/savoryport_core/tests/ledger_cases.rs
@@ -1,7 +1,7 @@
 //! Single courses of the steward, among them the failures that the search has found.
 
 use savoryport_core::ledger::{
-    EngineItem, EngineState, HolderId, ItemState, Order, OrderAnswer, OrderKind, ReconcileInput,
+    EngineItem, EngineState, HolderId, ItemState, Order, OrderKind, OrderResponse, ReconcileInput,
     Reconciler, ServerRecord, Step, WantedItem, WriteResult,
 };
 
@@ -91,12 +91,12 @@
     bench.steward.on_send(&order);
     let again = bench.order(&[wanted("a", 60)], &engine(2, &[]));
     bench.steward.on_send(&again);
-    bench.steward.on_answer(&again, OrderAnswer::Taken(engine(2, &["a"])));
+    bench.steward.on_answer(&again, OrderResponse::Accepted(engine(2, &["a"])));
     assert_eq!(bench.run(&[wanted("a", 60)], &engine(2, &["a"])), Step::Idle);
     // Now it is to go, and the late order may still bring it back.
     let unload = bench.order(&[], &engine(2, &["a"]));
     bench.steward.on_send(&unload);
-    bench.steward.on_answer(&unload, OrderAnswer::Taken(engine(2, &[])));
+    bench.steward.on_answer(&unload, OrderResponse::Accepted(engine(2, &[])));
     bench.run(&[wanted("b", 60)], &engine(2, &[]));
     let record = bench.steward.record().unwrap();
     assert_eq!(record.retained_mib(), 60);
@@ -110,7 +110,7 @@
     let items = [wanted("a", 60)];
     let order = bench.order(&items, &engine(1, &[]));
     bench.steward.on_send(&order);
-    bench.steward.on_answer(&order, OrderAnswer::Taken(engine(1, &["a"])));
+    bench.steward.on_answer(&order, OrderResponse::Accepted(engine(1, &["a"])));
     let (before, revision) = (bench.steward.record().unwrap().clone(), bench.revision);
     let Step::Write { record, .. } = next(&mut bench.steward, &items, true) else {
         panic!("the settled order was to be written");
--- a/savoryport_core/tests/ledger_search.rs
+++ b/savoryport_core/tests/ledger_search.rs
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use savoryport_core::ledger::{
-    EngineState, HolderId, Order, OrderAnswer, ReconcileInput, Reconciler, ServerRecord, Step,
+    EngineState, HolderId, Order, OrderResponse, ReconcileInput, Reconciler, ServerRecord, Step,
     WantedItem, WriteResult,
 };
 
@@ -41,7 +41,7 @@
 /// An answer of the engine on its way.
 enum Answer {
     State(EngineState),
-    Order(Order, OrderAnswer),
+    Order(Order, OrderResponse),
 }
 
 impl Control {
--- a/savoryport_platform/src/engine.rs
+++ b/savoryport_platform/src/engine.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use savoryport_core::ledger::{EngineState, Order, OrderAnswer};
+use savoryport_core::ledger::{EngineState, Order, OrderResponse};
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 use ureq::{Agent, Body};
@@ -51,12 +51,12 @@
     /// # Errors
     ///
     /// Returns an error where the order's fate is unknown.
-    pub fn order(&self, order: &Order) -> Result<OrderAnswer, EngineError> {
+    pub fn order(&self, order: &Order) -> Result<OrderResponse, EngineError> {
         let url = format!("http://{}/admin/orders", self.address);
         let answer = self.agent.post(url).send_json(order).map_err(|err| self.unanswered(&err))?;
         let was_refused = answer.status().as_u16() == CONFLICT;
         let state: EngineState = self.read(answer.into_body())?;
-        Ok(if was_refused { OrderAnswer::Refused(state) } else { OrderAnswer::Taken(state) })
+        Ok(if was_refused { OrderResponse::Refused(state) } else { OrderResponse::Accepted(state) })
     }
 
     /// Asks what is in memory now.
--- a/savoryport_platform/tests/engine_contract.rs
+++ b/savoryport_platform/tests/engine_contract.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
-use savoryport_core::ledger::{EngineState, HolderId, ItemState, Order, OrderAnswer, OrderKind};
+use savoryport_core::ledger::{EngineState, HolderId, ItemState, Order, OrderKind, OrderResponse};
 use savoryport_platform::connection::{Pool, SendError};
 use savoryport_platform::engine::{EngineClient, EngineError};
 use savoryport_standin::engine::{EngineConfig, EngineStandin};
@@ -27,10 +27,10 @@
     Order { fence, kind, item: item.into(), base: None, memory_mib: 60, issuer }
 }
 
-fn taken(answer: OrderAnswer) -> EngineState {
+fn taken(answer: OrderResponse) -> EngineState {
     match answer {
-        OrderAnswer::Taken(state) => state,
-        OrderAnswer::Refused(state) => panic!("refused: {state:?}"),
+        OrderResponse::Accepted(state) => state,
+        OrderResponse::Refused(state) => panic!("refused: {state:?}"),
     }
 }
 
@@ -65,7 +65,7 @@
         let client = EngineClient::new(engine.address(), TIMEOUT);
         taken(client.order(&order(5, OrderKind::Load, "a")).unwrap());
         let late = client.order(&order(4, OrderKind::Load, "b")).unwrap();
-        assert_eq!(matches!(late, OrderAnswer::Refused(_)), checks_fencing);
+        assert_eq!(matches!(late, OrderResponse::Refused(_)), checks_fencing);
         // The engine's own count shows what an unchecked order may do.
         assert_eq!(engine.counts().overcommitted_mib, if checks_fencing { 0 } else { 20 });
     }
