--- a/savoryport_core/src/ledger/mod.rs
+++ b/savoryport_core/src/ledger/mod.rs
@@ -11,6 +11,6 @@
     OrderResponse, ReconcileInput, Reconciler, Step, WantedItem, WriteResult,
 };
 pub use self::record::{
-    EngineItem, EngineState, HolderId, ItemState, Order, OrderKind, Reach, Reservation,
-    ReservationState, ServerRecord, Stray,
+    EngineItem, EngineState, HolderId, ItemState, Order, OrderKind, Reservation, ReservationState,
+    ServerRecord, StrayOrder, StrayReach,
 };
--- a/savoryport_core/src/ledger/reconciler.rs
+++ b/savoryport_core/src/ledger/reconciler.rs
@@ -8,8 +8,8 @@
 use smallvec::smallvec;
 
 use super::record::{
-    EngineState, HolderId, ItemState, Order, OrderKind, Reach, Reservation, ReservationState,
-    ServerRecord, Stray,
+    EngineState, HolderId, ItemState, Order, OrderKind, Reservation, ReservationState,
+    ServerRecord, StrayOrder, StrayReach,
 };
 use crate::Name;
 
@@ -203,17 +203,18 @@
 
     /// Marks what this process left behind when another took over: it will not send it any more.
     fn give_up_own_strays(&self, record: &ServerRecord) -> Option<ServerRecord> {
-        let is_mine = |stray: &Stray| stray.issuer == self.me && stray.reach == Reach::Open;
+        let is_mine =
+            |stray: &StrayOrder| stray.issuer == self.me && stray.reach == StrayReach::Open;
         let any = record.reservations.iter().flat_map(|r| &r.strays).any(is_mine);
         if !any {
             return None;
         }
         let mut record = record.clone();
         for reservation in &mut record.reservations {
-            let is_void = |stray: &Stray| is_mine(stray) && !self.is_unanswered(stray.fence);
+            let is_void = |stray: &StrayOrder| is_mine(stray) && !self.is_unanswered(stray.fence);
             reservation.strays.retain(|stray| !is_void(stray));
             for stray in reservation.strays.iter_mut().filter(|stray| is_mine(stray)) {
-                stray.reach = Reach::Closed;
+                stray.reach = StrayReach::Closed;
             }
         }
         Some(record)
@@ -260,7 +261,7 @@
         let Some(reservation) = record.get_mut(&order.item) else { return };
         if in_doubt {
             let (fence, issuer) = (order.fence, order.issuer.clone());
-            reservation.strays.push(Stray { fence, issuer, reach: Reach::Closed });
+            reservation.strays.push(StrayOrder { fence, issuer, reach: StrayReach::Closed });
         }
         reservation.state = match state {
             Some(ItemState::Loaded) => ReservationState::Loaded,
@@ -278,7 +279,8 @@
     let Some(reservation) = record.get_mut(&order.item) else { return record };
     match order.kind {
         OrderKind::Load => {
-            let stray = Stray { fence: order.fence, issuer: order.issuer, reach: Reach::Open };
+            let stray =
+                StrayOrder { fence: order.fence, issuer: order.issuer, reach: StrayReach::Open };
             reservation.strays.push(stray);
         }
         OrderKind::Unload => reservation.state = ReservationState::Loaded,
@@ -288,8 +290,8 @@
 
 fn close_strays_of_the_gone(record: &mut ServerRecord, is_gone: &dyn Fn(&HolderId) -> bool) {
     for stray in record.reservations.iter_mut().flat_map(|r| &mut r.strays) {
-        if stray.reach == Reach::Open && is_gone(&stray.issuer) {
-            stray.reach = Reach::Closed;
+        if stray.reach == StrayReach::Open && is_gone(&stray.issuer) {
+            stray.reach = StrayReach::Closed;
         }
     }
 }
@@ -298,8 +300,8 @@
 /// the last write of the record, so whatever stood closed there was closed before.
 fn bind_closed_strays(record: &mut ServerRecord, incarnation: u64) {
     for stray in record.reservations.iter_mut().flat_map(|r| &mut r.strays) {
-        if stray.reach == Reach::Closed {
-            stray.reach = Reach::UpTo(incarnation);
+        if stray.reach == StrayReach::Closed {
+            stray.reach = StrayReach::UpTo(incarnation);
         }
     }
 }
@@ -309,7 +311,8 @@
 fn restart(record: &mut ServerRecord, incarnation: u64) {
     record.engine_incarnation = incarnation;
     for reservation in &mut record.reservations {
-        let is_past = |reach: &Reach| matches!(reach, Reach::UpTo(seen) if *seen != incarnation);
+        let is_past =
+            |reach: &StrayReach| matches!(reach, StrayReach::UpTo(seen) if *seen != incarnation);
         reservation.strays.retain(|stray| !is_past(&stray.reach));
         reservation.state = match reservation.state {
             ReservationState::Retained => ReservationState::Retained,
@@ -353,8 +356,8 @@
     if !record.checks_fencing {
         return;
     }
-    let is_refused = |stray: &Stray| {
-        stray.reach == Reach::UpTo(engine.incarnation) && stray.fence < engine.highest_fence
+    let is_refused = |stray: &StrayOrder| {
+        stray.reach == StrayReach::UpTo(engine.incarnation) && stray.fence < engine.highest_fence
     };
     for reservation in &mut record.reservations {
         reservation.strays.retain(|stray| !is_refused(stray));
--- a/savoryport_core/src/ledger/record.rs
+++ b/savoryport_core/src/ledger/record.rs
@@ -67,7 +67,7 @@
     }
 
     /// How a stray order may still reach an engine.
-    pub enum Reach {
+    pub enum StrayReach {
         /// The issuer may still send it, to whatever engine process it finds.
         Open,
         /// The issuer will not send it again; bytes may be under way to any engine process so far.
@@ -78,13 +78,13 @@
     }
 
     /// A load order that may still reach the engine.
-    pub struct Stray {
+    pub struct StrayOrder {
         /// Its fencing number.
         pub fence: u64,
         /// The process that recorded it.
         pub issuer: HolderId,
         /// How it may still arrive.
-        pub reach: Reach,
+        pub reach: StrayReach,
     }
 
     /// Memory set aside for a model or adapter.
@@ -96,7 +96,7 @@
         /// How far it has come.
         pub state: ReservationState,
         /// Load orders that may still arrive.
-        pub strays: SmallVec<[Stray; 1]>,
+        pub strays: SmallVec<[StrayOrder; 1]>,
     }
 
     /// The ledger of one server.
