--- a/savoryport/src/control/stewards.rs
+++ b/savoryport/src/control/stewards.rs
@@ -135,7 +135,7 @@
         let items = replica.plan.wanted(server, &replica.table);
         let may_unload = |item: &str| replica.may_unload(server, item);
         let is_gone = |holder: &HolderId| is_gone(&replica, holder);
-        let step = self.steward.next(&ReconcileInput {
+        let step = self.steward.next_step(&ReconcileInput {
             plan_version: replica.plan.version,
             items: &items,
             may_unload: &may_unload,
--- a/savoryport_core/src/ledger/reconciler.rs
+++ b/savoryport_core/src/ledger/reconciler.rs
@@ -171,7 +171,7 @@
     }
 
     /// Decides the next step.
-    pub fn next(&mut self, wishes: &ReconcileInput<'_>) -> Step {
+    pub fn next_step(&mut self, wishes: &ReconcileInput<'_>) -> Step {
         let Some((record, revision)) = self.cached.clone() else { return Step::Read };
         if self.doubtful_base == Some(revision) && wishes.may_act {
             // Writing the record as it stands keeps the doubtful write from taking effect later,
--- a/savoryport_core/tests/ledger_cases.rs
+++ b/savoryport_core/tests/ledger_cases.rs
@@ -16,7 +16,7 @@
 }
 
 fn next(steward: &mut Reconciler, items: &[WantedItem], may_unload: bool) -> Step {
-    steward.next(&ReconcileInput {
+    steward.next_step(&ReconcileInput {
         plan_version: 1,
         items,
         may_unload: &|_| may_unload,
@@ -136,7 +136,7 @@
     let mut steward = Reconciler::new(me());
     steward.on_read(ServerRecord::new(CAPACITY_MIB, true), 1);
     let items = [wanted("a", 60)];
-    let step = steward.next(&ReconcileInput {
+    let step = steward.next_step(&ReconcileInput {
         plan_version: 1,
         items: &items,
         may_unload: &|_| true,
--- a/savoryport_core/tests/ledger_search.rs
+++ b/savoryport_core/tests/ledger_search.rs
@@ -137,7 +137,7 @@
             holder.incarnation < incarnations[vm]
         };
         let control = &mut self.controls[at];
-        let step = control.steward.next(&ReconcileInput {
+        let step = control.steward.next_step(&ReconcileInput {
             plan_version: self.plan_version,
             items: &self.wanted,
             may_unload: &|_| true,
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -42,7 +42,7 @@
     fn step(&mut self, rng: &mut SmallRng) {
         let items = self.view.plan.wanted(&self.name, &self.view.table);
         let incarnation = self.incarnation;
-        let step = self.steward.next(&ReconcileInput {
+        let step = self.steward.next_step(&ReconcileInput {
             plan_version: self.view.plan.version,
             items: &items,
             may_unload: &|item| self.view.may_unload(&self.name, item),
