--- a/savoryport/src/control/stewards.rs
+++ b/savoryport/src/control/stewards.rs
@@ -261,10 +261,10 @@
         let changed = changes.wait_for(|replica| replica.plan.version != plan_version);
         let _ = tokio::time::timeout(period, changed).await;
         if may_act {
-            self.steward.refresh();
+            self.steward.invalidate_engine_state();
         } else {
             // Somebody else may hold the lease: what was left behind is found in the record.
-            self.steward.forget();
+            self.steward.invalidate();
         }
     }
 }
--- a/savoryport_core/src/ledger/reconciler.rs
+++ b/savoryport_core/src/ledger/reconciler.rs
@@ -114,13 +114,13 @@
     }
 
     /// Drops what was read, so that the next step reads again.
-    pub fn forget(&mut self) {
+    pub fn invalidate(&mut self) {
         self.cached = None;
         self.engine = None;
     }
 
     /// Drops the engine's state, so that the next step asks again.
-    pub fn refresh(&mut self) {
+    pub fn invalidate_engine_state(&mut self) {
         self.engine = None;
     }
 
--- a/savoryport_core/tests/ledger_cases.rs
+++ b/savoryport_core/tests/ledger_cases.rs
@@ -127,7 +127,7 @@
     let mut bench = Bench { may_unload: false, ..Bench::new() };
     assert_eq!(bench.run(&[], &engine(1, &["a"])), Step::Idle);
     bench.may_unload = true;
-    bench.steward.refresh();
+    bench.steward.invalidate_engine_state();
     assert_eq!(bench.order(&[], &engine(1, &["a"])).kind, OrderKind::Unload);
 }
 
--- a/savoryport_core/tests/ledger_search.rs
+++ b/savoryport_core/tests/ledger_search.rs
@@ -147,9 +147,9 @@
         });
         if step == Step::Idle {
             if control.believes_in_lease {
-                control.steward.refresh();
+                control.steward.invalidate_engine_state();
             } else {
-                control.steward.forget();
+                control.steward.invalidate();
             }
         }
         step
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -69,7 +69,7 @@
                 }
             }
             Step::Query => self.steward.on_query(self.engine.state()),
-            Step::Idle => self.steward.refresh(),
+            Step::Idle => self.steward.invalidate_engine_state(),
         }
     }
 }
