--- a/savoryport/src/control/stewards.rs
+++ b/savoryport/src/control/stewards.rs
@@ -127,7 +127,7 @@
     }
 
     fn decide(&mut self, may_act: bool) -> Step {
-        if self.permit.is_none() && !self.steward.has_pending() {
+        if self.permit.is_none() && !self.steward.has_pending_order() {
             self.permit = self.slots.clone().try_acquire_owned().ok();
         }
         let replica = self.cx.hub.replica();
@@ -200,11 +200,11 @@
             OrderKind::Unload => "unload",
         };
         self.cx.metrics.orders.get_or_create(&CauseLabels { cause }).inc();
-        self.steward.on_send(&order);
+        self.steward.on_order_sent(&order);
         let (engine, sent) = (self.engine.clone(), order.clone());
         match tokio::task::spawn_blocking(move || engine.order(&sent)).await {
             Ok(Ok(answer)) => {
-                self.steward.on_answer(&order, answer);
+                self.steward.on_order_response(&order, answer);
                 tokio::time::sleep(ORDER_PAUSE).await;
             }
             _ => {
@@ -218,7 +218,7 @@
         let engine = self.engine.clone();
         match tokio::task::spawn_blocking(move || engine.state()).await {
             Ok(Ok(state)) => {
-                self.steward.on_query(state);
+                self.steward.on_engine_state(state);
                 self.note_answer().await;
             }
             _ => {
--- a/savoryport_core/src/ledger/reconciler.rs
+++ b/savoryport_core/src/ledger/reconciler.rs
@@ -125,7 +125,7 @@
     }
 
     /// Returns whether an order is under way.
-    pub fn has_pending(&self) -> bool {
+    pub fn has_pending_order(&self) -> bool {
         self.record().is_some_and(|record| record.pending.is_some())
     }
 
@@ -147,12 +147,12 @@
     }
 
     /// Notes that an order leaves now.
-    pub fn on_send(&mut self, order: &Order) {
+    pub fn on_order_sent(&mut self, order: &Order) {
         *self.sent.entry(order.fence).or_default() += 1;
     }
 
     /// Takes the answer to an order; without an answer nothing is reported, and it counts as stray.
-    pub fn on_answer(&mut self, order: &Order, answer: OrderResponse) {
+    pub fn on_order_response(&mut self, order: &Order, answer: OrderResponse) {
         if let Some(unanswered) = self.sent.get_mut(&order.fence) {
             *unanswered = unanswered.saturating_sub(1);
         }
@@ -166,7 +166,7 @@
     }
 
     /// Takes the engine's state, asked for after the last write.
-    pub fn on_query(&mut self, state: EngineState) {
+    pub fn on_engine_state(&mut self, state: EngineState) {
         self.engine = Some(state);
     }
 
--- a/savoryport_core/tests/ledger_cases.rs
+++ b/savoryport_core/tests/ledger_cases.rs
@@ -56,7 +56,7 @@
                     self.revision += 1;
                     self.steward.on_write(record, WriteResult::Written(self.revision));
                 }
-                Step::Query => self.steward.on_query(state.clone()),
+                Step::Query => self.steward.on_engine_state(state.clone()),
                 step => return step,
             }
         }
@@ -88,15 +88,15 @@
     let order = bench.order(&[wanted("a", 60)], &engine(1, &[]));
     // The sending gets no answer; meanwhile the engine was replaced, and it may be that the new
     // process gets the order late.
-    bench.steward.on_send(&order);
+    bench.steward.on_order_sent(&order);
     let again = bench.order(&[wanted("a", 60)], &engine(2, &[]));
-    bench.steward.on_send(&again);
-    bench.steward.on_answer(&again, OrderResponse::Accepted(engine(2, &["a"])));
+    bench.steward.on_order_sent(&again);
+    bench.steward.on_order_response(&again, OrderResponse::Accepted(engine(2, &["a"])));
     assert_eq!(bench.run(&[wanted("a", 60)], &engine(2, &["a"])), Step::Idle);
     // Now it is to go, and the late order may still bring it back.
     let unload = bench.order(&[], &engine(2, &["a"]));
-    bench.steward.on_send(&unload);
-    bench.steward.on_answer(&unload, OrderResponse::Accepted(engine(2, &[])));
+    bench.steward.on_order_sent(&unload);
+    bench.steward.on_order_response(&unload, OrderResponse::Accepted(engine(2, &[])));
     bench.run(&[wanted("b", 60)], &engine(2, &[]));
     let record = bench.steward.record().unwrap();
     assert_eq!(record.retained_mib(), 60);
@@ -109,8 +109,8 @@
     let mut bench = Bench::new();
     let items = [wanted("a", 60)];
     let order = bench.order(&items, &engine(1, &[]));
-    bench.steward.on_send(&order);
-    bench.steward.on_answer(&order, OrderResponse::Accepted(engine(1, &["a"])));
+    bench.steward.on_order_sent(&order);
+    bench.steward.on_order_response(&order, OrderResponse::Accepted(engine(1, &["a"])));
     let (before, revision) = (bench.steward.record().unwrap().clone(), bench.revision);
     let Step::Write { record, .. } = next(&mut bench.steward, &items, true) else {
         panic!("the settled order was to be written");
--- a/savoryport_core/tests/ledger_search.rs
+++ b/savoryport_core/tests/ledger_search.rs
@@ -196,7 +196,7 @@
     }
 
     fn send(&mut self, at: usize, order: &Order) {
-        self.controls[at].steward.on_send(order);
+        self.controls[at].steward.on_order_sent(order);
         match self.rng.random_range(0..10) {
             // Lost or late: the connection was given up, its bytes may still arrive.
             0 | 1 => {
@@ -228,8 +228,8 @@
     fn deliver(&mut self, at: usize, answer: Answer) {
         let steward = &mut self.controls[at].steward;
         match answer {
-            Answer::State(state) => steward.on_query(state),
-            Answer::Order(order, answer) => steward.on_answer(&order, answer),
+            Answer::State(state) => steward.on_engine_state(state),
+            Answer::Order(order, answer) => steward.on_order_response(&order, answer),
         }
     }
 
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -61,14 +61,14 @@
                 self.steward.on_write(record, if is_lost { WriteResult::Unknown } else { answer });
             }
             Step::Send(order) => {
-                self.steward.on_send(&order);
+                self.steward.on_order_sent(&order);
                 let answer = self.engine.carry_out(&order);
                 match rng.random_range(0..10) {
                     0 => self.late.push(order),
-                    _ => self.steward.on_answer(&order, answer),
+                    _ => self.steward.on_order_response(&order, answer),
                 }
             }
-            Step::Query => self.steward.on_query(self.engine.state()),
+            Step::Query => self.steward.on_engine_state(self.engine.state()),
             Step::Idle => self.steward.invalidate_engine_state(),
         }
     }
