--- a/savoryport/src/entry/dispatcher.rs
+++ b/savoryport/src/entry/dispatcher.rs
@@ -15,7 +15,7 @@
 use savoryport_core::fleet::{Vm, VmRole};
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::Replica;
-use savoryport_core::ticket::{Admission, Ticket, TicketBook};
+use savoryport_core::ticket::{Admission, Ticket, TicketIssuer};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::sync::CancellationToken;
 
@@ -171,7 +171,7 @@
 
 struct Dispatcher {
     dispatch: Dispatch,
-    book: TicketBook,
+    book: TicketIssuer,
     budget: RetryBudget,
     demand: Demand,
     clock: Arc<dyn Clock>,
@@ -193,7 +193,7 @@
     let epoch_length = Duration::from_millis(settings.ticket_epoch_ms);
     let dispatcher = Dispatcher {
         dispatch: Dispatch::new(settings.dispatch()),
-        book: TicketBook::new(settings.vm.clone(), incarnation, epoch_length, clock.now()),
+        book: TicketIssuer::new(settings.vm.clone(), incarnation, epoch_length, clock.now()),
         budget: RetryBudget::new(RETRY_SHARE, RETRY_BURST),
         demand,
         clock,
--- a/savoryport_core/src/ticket.rs
+++ b/savoryport_core/src/ticket.rs
@@ -55,7 +55,7 @@
 
 /// Issues tickets and remembers which were used.
 #[derive(Debug)]
-pub struct TicketBook {
+pub struct TicketIssuer {
     home: Name,
     incarnation: u64,
     started_at: Instant,
@@ -87,7 +87,7 @@
     }
 }
 
-impl TicketBook {
+impl TicketIssuer {
     /// Opens the book of a process.
     ///
     /// `incarnation` must differ from that of every earlier process of the same name.
--- a/savoryport_core/tests/ticket.rs
+++ b/savoryport_core/tests/ticket.rs
@@ -4,12 +4,12 @@
 use std::time::{Duration, Instant};
 
 use proptest::prelude::*;
-use savoryport_core::ticket::{Admission, MAX_STARTED_PER_EPOCH, Ticket, TicketBook};
+use savoryport_core::ticket::{Admission, MAX_STARTED_PER_EPOCH, Ticket, TicketIssuer};
 
 const EPOCH: Duration = Duration::from_secs(60);
 
-fn book(incarnation: u64, now: Instant) -> TicketBook {
-    TicketBook::new("vm-1".into(), incarnation, EPOCH, now)
+fn book(incarnation: u64, now: Instant) -> TicketIssuer {
+    TicketIssuer::new("vm-1".into(), incarnation, EPOCH, now)
 }
 
 #[test]
@@ -19,7 +19,7 @@
     let ticket = home.issue(now);
     assert_eq!(home.admit(&ticket, now), Admission::Start);
     assert_eq!(home.admit(&ticket, now), Admission::AlreadyStarted);
-    let mut other = TicketBook::new("vm-2".into(), 9, EPOCH, now);
+    let mut other = TicketIssuer::new("vm-2".into(), 9, EPOCH, now);
     assert_eq!(other.admit(&ticket, now), Admission::Elsewhere);
     let mut successor = book(2, now);
     assert_eq!(successor.admit(&ticket, now), Admission::TooOld);
