--- a/savoryport/src/control/stewards.rs
+++ b/savoryport/src/control/stewards.rs
@@ -6,10 +6,10 @@
 
 use savoryport_core::Name;
 use savoryport_core::fleet::Vm;
-use savoryport_core::grant;
 use savoryport_core::ledger::{
-    HolderId, Order, OrderKind, ServerRecord, Step, Steward, Wishes, WriteAnswer,
+    HolderId, Order, OrderKind, ReconcileInput, Reconciler, ServerRecord, Step, WriteResult,
 };
+use savoryport_core::load_slots;
 use savoryport_core::replica::{Replica, Residency};
 use savoryport_platform::engine::EngineClient;
 use savoryport_platform::kv::{PutAnswer, Revision};
@@ -68,7 +68,7 @@
     groups.sort();
     groups.dedup();
     let index = groups.iter().position(|other| *other == group).unwrap_or(0);
-    let share = grant::share(cx.settings.weight_store_slots, groups.len(), index);
+    let share = load_slots::slots_for_group(cx.settings.weight_store_slots, groups.len(), index);
     // A group without a slot could never load anything; better that loads take longer.
     Arc::new(Semaphore::new(share.max(1) as usize))
 }
@@ -78,7 +78,7 @@
     held: HeldReceiver,
     vm: Vm,
     engine: EngineClient,
-    steward: Steward,
+    steward: Reconciler,
     slots: Arc<Semaphore>,
     permit: Option<OwnedSemaphorePermit>,
     silent_since: Option<Instant>,
@@ -96,7 +96,7 @@
         let timeout = Duration::from_millis(cx.settings.order_timeout_ms);
         Self {
             engine: EngineClient::new(&vm.address, timeout),
-            steward: Steward::new(me.clone()),
+            steward: Reconciler::new(me.clone()),
             cx: cx.clone(),
             held: held.clone(),
             vm: vm.clone(),
@@ -127,7 +127,7 @@
     }
 
     fn decide(&mut self, may_act: bool) -> Step {
-        if self.permit.is_none() && !self.steward.has_pending() {
+        if self.permit.is_none() && !self.steward.has_pending_order() {
             self.permit = self.slots.clone().try_acquire_owned().ok();
         }
         let replica = self.cx.hub.replica();
@@ -135,7 +135,7 @@
         let items = replica.plan.wanted(server, &replica.table);
         let may_unload = |item: &str| replica.may_unload(server, item);
         let is_gone = |holder: &HolderId| is_gone(&replica, holder);
-        let step = self.steward.next(&Wishes {
+        let step = self.steward.next_step(&ReconcileInput {
             plan_version: replica.plan.version,
             items: &items,
             may_unload: &may_unload,
@@ -180,15 +180,15 @@
         let answer = match self.cx.platform.put_if(&key, value, revision, None).await {
             Ok(PutAnswer::Written(revision)) => {
                 self.cx.hub.add_residency(&self.vm.name, Residency::of(&record, revision));
-                WriteAnswer::Written(revision)
+                WriteResult::Written(revision)
             }
             Ok(PutAnswer::Conflict) => {
                 self.cx.metrics.write_conflicts.inc();
-                WriteAnswer::Conflict
+                WriteResult::Conflict
             }
             Err(_) => {
                 tokio::time::sleep(RETRY_PAUSE).await;
-                WriteAnswer::Unknown
+                WriteResult::Unknown
             }
         };
         self.steward.on_write(record, answer);
@@ -200,11 +200,11 @@
             OrderKind::Unload => "unload",
         };
         self.cx.metrics.orders.get_or_create(&CauseLabels { cause }).inc();
-        self.steward.on_send(&order);
+        self.steward.on_order_sent(&order);
         let (engine, sent) = (self.engine.clone(), order.clone());
         match tokio::task::spawn_blocking(move || engine.order(&sent)).await {
             Ok(Ok(answer)) => {
-                self.steward.on_answer(&order, answer);
+                self.steward.on_order_response(&order, answer);
                 tokio::time::sleep(ORDER_PAUSE).await;
             }
             _ => {
@@ -218,7 +218,7 @@
         let engine = self.engine.clone();
         match tokio::task::spawn_blocking(move || engine.state()).await {
             Ok(Ok(state)) => {
-                self.steward.on_query(state);
+                self.steward.on_engine_state(state);
                 self.note_answer().await;
             }
             _ => {
@@ -261,10 +261,10 @@
         let changed = changes.wait_for(|replica| replica.plan.version != plan_version);
         let _ = tokio::time::timeout(period, changed).await;
         if may_act {
-            self.steward.refresh();
+            self.steward.invalidate_engine_state();
         } else {
             // Somebody else may hold the lease: what was left behind is found in the record.
-            self.steward.forget();
+            self.steward.invalidate();
         }
     }
 }
--- a/savoryport_core/src/lease.rs
+++ b/savoryport_core/src/lease.rs
@@ -7,16 +7,16 @@
 use std::sync::{Arc, LazyLock};
 use std::time::{Duration, Instant};
 
-use crate::chart::{Chart, Machine};
+use crate::state_chart::{StateChart, StateMachine};
 
-static CHART: LazyLock<Arc<Chart>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../charts/lease.json")).expect("the embedded chart is checked")
+static CHART: LazyLock<Arc<StateChart>> = LazyLock::new(|| {
+    StateChart::parse(include_str!("../charts/lease.json")).expect("the embedded chart is checked")
 });
 
 /// A lease that this process holds or wants.
 #[derive(Debug, Clone)]
 pub struct Lease {
-    machine: Machine,
+    machine: StateMachine,
     time_to_live: Duration,
     good_until: Option<Instant>,
 }
@@ -27,29 +27,29 @@
 
     /// Starts without the lease.
     pub fn new(time_to_live: Duration) -> Self {
-        Self { machine: Machine::new(CHART.clone()), time_to_live, good_until: None }
+        Self { machine: StateMachine::new(CHART.clone()), time_to_live, good_until: None }
     }
 
     /// Notes that a request for the lease was sent.
-    pub fn acquire(&mut self) {
+    pub fn on_acquire_sent(&mut self) {
         self.fire("acquire");
     }
 
     /// Notes that the lease was won by a request sent at `asked_at`.
-    pub fn won(&mut self, asked_at: Instant) {
+    pub fn on_acquired(&mut self, asked_at: Instant) {
         self.fire("won");
         self.extend(asked_at);
     }
 
     /// Notes that somebody else has the lease, or that the service did not answer.
-    pub fn lost(&mut self) {
+    pub fn on_lost(&mut self) {
         let event = if self.machine.state() == "held" { "lapsed" } else { "lost" };
         self.fire(event);
         self.good_until = None;
     }
 
     /// Notes a renewal that was sent at `asked_at`.
-    pub fn renewed(&mut self, asked_at: Instant) {
+    pub fn on_renewed(&mut self, asked_at: Instant) {
         self.fire("renewed");
         self.extend(asked_at);
     }
--- a/savoryport_core/src/ledger/mod.rs
+++ b/savoryport_core/src/ledger/mod.rs
@@ -4,11 +4,13 @@
 //! ordered before its reservation stands there, and nothing is released while an order that could
 //! still load it may arrive. `docs/DESIGN.md` gives the failures behind each rule.
 
+mod reconciler;
 mod record;
-mod steward;
 
+pub use self::reconciler::{
+    OrderResponse, ReconcileInput, Reconciler, Step, WantedItem, WriteResult,
+};
 pub use self::record::{
-    EngineItem, EngineState, HolderId, ItemState, Order, OrderKind, Reach, Reservation,
-    ReservationState, ServerRecord, Stray,
+    EngineItem, EngineState, HolderId, ItemState, Order, OrderKind, Reservation, ReservationState,
+    ServerRecord, StrayOrder, StrayReach,
 };
-pub use self::steward::{OrderAnswer, Step, Steward, WantedItem, Wishes, WriteAnswer};
--- a/savoryport_core/src/ledger/steward.rs
+++ b/savoryport_core/src/ledger/reconciler.rs
@@ -8,8 +8,8 @@
 use smallvec::smallvec;
 
 use super::record::{
-    EngineState, HolderId, ItemState, Order, OrderKind, Reach, Reservation, ReservationState,
-    ServerRecord, Stray,
+    EngineState, HolderId, ItemState, Order, OrderKind, Reservation, ReservationState,
+    ServerRecord, StrayOrder, StrayReach,
 };
 use crate::Name;
 
@@ -26,7 +26,7 @@
 }
 
 /// What the steward works towards.
-pub struct Wishes<'a> {
+pub struct ReconcileInput<'a> {
     /// The version of the plan.
     pub plan_version: u64,
     /// What the plan wants on the server, a base before its adapters.
@@ -63,7 +63,7 @@
 
 /// What came of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteAnswer {
+pub enum WriteResult {
     /// The record stands, at this revision.
     Written(u64),
     /// Somebody else wrote first.
@@ -74,16 +74,16 @@
 
 /// What the engine answered to an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// The order was taken; the state follows it.
-    Taken(EngineState),
+    Accepted(EngineState),
     /// The engine refused the order, for its fencing number or for lack of memory.
     Refused(EngineState),
 }
 
 /// Drives one server.
 #[derive(Debug, Clone)]
-pub struct Steward {
+pub struct Reconciler {
     me: HolderId,
     cached: Option<(ServerRecord, u64)>,
     engine: Option<EngineState>,
@@ -95,7 +95,7 @@
     doubtful_base: Option<u64>,
 }
 
-impl Steward {
+impl Reconciler {
     /// Starts without any knowledge of the server.
     pub fn new(me: HolderId) -> Self {
         Self {
@@ -114,18 +114,18 @@
     }
 
     /// Drops what was read, so that the next step reads again.
-    pub fn forget(&mut self) {
+    pub fn invalidate(&mut self) {
         self.cached = None;
         self.engine = None;
     }
 
     /// Drops the engine's state, so that the next step asks again.
-    pub fn refresh(&mut self) {
+    pub fn invalidate_engine_state(&mut self) {
         self.engine = None;
     }
 
     /// Returns whether an order is under way.
-    pub fn has_pending(&self) -> bool {
+    pub fn has_pending_order(&self) -> bool {
         self.record().is_some_and(|record| record.pending.is_some())
     }
 
@@ -137,28 +137,28 @@
     }
 
     /// Takes the answer to a write.
-    pub fn on_write(&mut self, record: ServerRecord, answer: WriteAnswer) {
+    pub fn on_write(&mut self, record: ServerRecord, answer: WriteResult) {
         let base = self.cached.take().map(|(_, revision)| revision);
         match answer {
-            WriteAnswer::Written(revision) => self.cached = Some((record, revision)),
-            WriteAnswer::Conflict => {}
-            WriteAnswer::Unknown => self.doubtful_base = base,
+            WriteResult::Written(revision) => self.cached = Some((record, revision)),
+            WriteResult::Conflict => {}
+            WriteResult::Unknown => self.doubtful_base = base,
         }
     }
 
     /// Notes that an order leaves now.
-    pub fn on_send(&mut self, order: &Order) {
+    pub fn on_order_sent(&mut self, order: &Order) {
         *self.sent.entry(order.fence).or_default() += 1;
     }
 
     /// Takes the answer to an order; without an answer nothing is reported, and it counts as stray.
-    pub fn on_answer(&mut self, order: &Order, answer: OrderAnswer) {
+    pub fn on_order_response(&mut self, order: &Order, answer: OrderResponse) {
         if let Some(unanswered) = self.sent.get_mut(&order.fence) {
             *unanswered = unanswered.saturating_sub(1);
         }
         match answer {
-            OrderAnswer::Taken(state) => self.engine = Some(state),
-            OrderAnswer::Refused(state) => {
+            OrderResponse::Accepted(state) => self.engine = Some(state),
+            OrderResponse::Refused(state) => {
                 self.refused = Some(order.fence);
                 self.engine = Some(state);
             }
@@ -166,12 +166,12 @@
     }
 
     /// Takes the engine's state, asked for after the last write.
-    pub fn on_query(&mut self, state: EngineState) {
+    pub fn on_engine_state(&mut self, state: EngineState) {
         self.engine = Some(state);
     }
 
     /// Decides the next step.
-    pub fn next(&mut self, wishes: &Wishes<'_>) -> Step {
+    pub fn next_step(&mut self, wishes: &ReconcileInput<'_>) -> Step {
         let Some((record, revision)) = self.cached.clone() else { return Step::Read };
         if self.doubtful_base == Some(revision) && wishes.may_act {
             // Writing the record as it stands keeps the doubtful write from taking effect later,
@@ -203,17 +203,18 @@
 
     /// Marks what this process left behind when another took over: it will not send it any more.
     fn give_up_own_strays(&self, record: &ServerRecord) -> Option<ServerRecord> {
-        let is_mine = |stray: &Stray| stray.issuer == self.me && stray.reach == Reach::Open;
+        let is_mine =
+            |stray: &StrayOrder| stray.issuer == self.me && stray.reach == StrayReach::Open;
         let any = record.reservations.iter().flat_map(|r| &r.strays).any(is_mine);
         if !any {
             return None;
         }
         let mut record = record.clone();
         for reservation in &mut record.reservations {
-            let is_void = |stray: &Stray| is_mine(stray) && !self.is_unanswered(stray.fence);
+            let is_void = |stray: &StrayOrder| is_mine(stray) && !self.is_unanswered(stray.fence);
             reservation.strays.retain(|stray| !is_void(stray));
             for stray in reservation.strays.iter_mut().filter(|stray| is_mine(stray)) {
-                stray.reach = Reach::Closed;
+                stray.reach = StrayReach::Closed;
             }
         }
         Some(record)
@@ -228,7 +229,7 @@
         &mut self,
         record: &ServerRecord,
         engine: &EngineState,
-        wishes: &Wishes<'_>,
+        wishes: &ReconcileInput<'_>,
     ) -> ServerRecord {
         let mut record = record.clone();
         bind_closed_strays(&mut record, engine.incarnation);
@@ -260,7 +261,7 @@
         let Some(reservation) = record.get_mut(&order.item) else { return };
         if in_doubt {
             let (fence, issuer) = (order.fence, order.issuer.clone());
-            reservation.strays.push(Stray { fence, issuer, reach: Reach::Closed });
+            reservation.strays.push(StrayOrder { fence, issuer, reach: StrayReach::Closed });
         }
         reservation.state = match state {
             Some(ItemState::Loaded) => ReservationState::Loaded,
@@ -278,7 +279,8 @@
     let Some(reservation) = record.get_mut(&order.item) else { return record };
     match order.kind {
         OrderKind::Load => {
-            let stray = Stray { fence: order.fence, issuer: order.issuer, reach: Reach::Open };
+            let stray =
+                StrayOrder { fence: order.fence, issuer: order.issuer, reach: StrayReach::Open };
             reservation.strays.push(stray);
         }
         OrderKind::Unload => reservation.state = ReservationState::Loaded,
@@ -288,8 +290,8 @@
 
 fn close_strays_of_the_gone(record: &mut ServerRecord, is_gone: &dyn Fn(&HolderId) -> bool) {
     for stray in record.reservations.iter_mut().flat_map(|r| &mut r.strays) {
-        if stray.reach == Reach::Open && is_gone(&stray.issuer) {
-            stray.reach = Reach::Closed;
+        if stray.reach == StrayReach::Open && is_gone(&stray.issuer) {
+            stray.reach = StrayReach::Closed;
         }
     }
 }
@@ -298,8 +300,8 @@
 /// the last write of the record, so whatever stood closed there was closed before.
 fn bind_closed_strays(record: &mut ServerRecord, incarnation: u64) {
     for stray in record.reservations.iter_mut().flat_map(|r| &mut r.strays) {
-        if stray.reach == Reach::Closed {
-            stray.reach = Reach::UpTo(incarnation);
+        if stray.reach == StrayReach::Closed {
+            stray.reach = StrayReach::UpTo(incarnation);
         }
     }
 }
@@ -309,7 +311,8 @@
 fn restart(record: &mut ServerRecord, incarnation: u64) {
     record.engine_incarnation = incarnation;
     for reservation in &mut record.reservations {
-        let is_past = |reach: &Reach| matches!(reach, Reach::UpTo(seen) if *seen != incarnation);
+        let is_past =
+            |reach: &StrayReach| matches!(reach, StrayReach::UpTo(seen) if *seen != incarnation);
         reservation.strays.retain(|stray| !is_past(&stray.reach));
         reservation.state = match reservation.state {
             ReservationState::Retained => ReservationState::Retained,
@@ -353,8 +356,8 @@
     if !record.checks_fencing {
         return;
     }
-    let is_refused = |stray: &Stray| {
-        stray.reach == Reach::UpTo(engine.incarnation) && stray.fence < engine.highest_fence
+    let is_refused = |stray: &StrayOrder| {
+        stray.reach == StrayReach::UpTo(engine.incarnation) && stray.fence < engine.highest_fence
     };
     for reservation in &mut record.reservations {
         reservation.strays.retain(|stray| !is_refused(stray));
@@ -373,18 +376,22 @@
     record: &ServerRecord,
     engine: &EngineState,
     me: &HolderId,
-    wishes: &Wishes<'_>,
+    wishes: &ReconcileInput<'_>,
 ) -> Option<ServerRecord> {
     next_unload(record, me, wishes)
         .or_else(|| next_load(record, me, wishes))
         .or_else(|| drop_unwanted_reservation(record, engine, wishes))
 }
 
-fn is_wanted(wishes: &Wishes<'_>, item: &str) -> bool {
+fn is_wanted(wishes: &ReconcileInput<'_>, item: &str) -> bool {
     wishes.items.iter().any(|wanted| &*wanted.name == item)
 }
 
-fn next_unload(record: &ServerRecord, me: &HolderId, wishes: &Wishes<'_>) -> Option<ServerRecord> {
+fn next_unload(
+    record: &ServerRecord,
+    me: &HolderId,
+    wishes: &ReconcileInput<'_>,
+) -> Option<ServerRecord> {
     let at = record.reservations.iter().position(|reservation| {
         reservation.state == ReservationState::Loaded
             && !is_wanted(wishes, &reservation.item)
@@ -406,7 +413,11 @@
     Some(record)
 }
 
-fn next_load(record: &ServerRecord, me: &HolderId, wishes: &Wishes<'_>) -> Option<ServerRecord> {
+fn next_load(
+    record: &ServerRecord,
+    me: &HolderId,
+    wishes: &ReconcileInput<'_>,
+) -> Option<ServerRecord> {
     if !wishes.may_load {
         return None;
     }
@@ -450,7 +461,7 @@
 fn drop_unwanted_reservation(
     record: &ServerRecord,
     engine: &EngineState,
-    wishes: &Wishes<'_>,
+    wishes: &ReconcileInput<'_>,
 ) -> Option<ServerRecord> {
     let is_unwanted = |reservation: &Reservation| {
         reservation.state == ReservationState::Reserved
--- a/savoryport_core/src/lib.rs
+++ b/savoryport_core/src/lib.rs
@@ -8,21 +8,21 @@
 mod macros;
 
 pub mod address;
-pub mod attempt;
-pub mod chart;
 pub mod clock;
 pub mod demand;
 pub mod dispatch;
 pub mod fleet;
-pub mod grant;
 pub mod hash;
 pub mod lease;
 pub mod ledger;
+pub mod load_slots;
 pub mod node;
 pub mod placement;
 pub mod rank;
 pub mod relay;
 pub mod replica;
+pub mod request_lifecycle;
+pub mod state_chart;
 pub mod table;
 pub mod ticket;
 
--- a/savoryport_core/src/attempt.rs
+++ b/savoryport_core/src/request_lifecycle.rs
@@ -5,10 +5,11 @@
 
 use std::sync::{Arc, LazyLock};
 
-use crate::chart::{Chart, ChartError, Machine};
+use crate::state_chart::{StateChart, StateChartError, StateMachine};
 
-static CHART: LazyLock<Arc<Chart>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../charts/attempt.json")).expect("the embedded chart is checked")
+static CHART: LazyLock<Arc<StateChart>> = LazyLock::new(|| {
+    StateChart::parse(include_str!("../charts/attempt.json"))
+        .expect("the embedded chart is checked")
 });
 
 key! {
@@ -37,7 +38,7 @@
 
 key! {
     /// What happened to the request.
-    pub enum AttemptEvent {
+    pub enum RequestEvent {
         /// A backend server was chosen.
         Start,
         /// A connection to it stands; the request's bytes leave next.
@@ -57,7 +58,7 @@
     }
 }
 
-impl AttemptEvent {
+impl RequestEvent {
     /// Every event, for walks over the chart.
     pub const ALL: [Self; 8] = [
         Self::Start,
@@ -86,18 +87,18 @@
 
 /// One request from its arrival to its final answer.
 #[derive(Debug, Clone)]
-pub struct Attempt {
-    machine: Machine,
+pub struct RequestLifecycle {
+    machine: StateMachine,
     repeatable: bool,
 }
 
-impl Attempt {
+impl RequestLifecycle {
     /// Starts with a request that waits in the queue.
     ///
-    /// `repeatable` holds the table's word at the arrival; [`Attempt::may_retry`] also asks the
+    /// `repeatable` holds the table's word at the arrival; [`RequestLifecycle::may_retry`] also asks the
     /// table in force at the retry, since an operator may have changed it meanwhile.
     pub fn new(repeatable: bool) -> Self {
-        Self { machine: Machine::new(CHART.clone()), repeatable }
+        Self { machine: StateMachine::new(CHART.clone()), repeatable }
     }
 
     /// Takes an event.
@@ -105,7 +106,7 @@
     /// # Errors
     ///
     /// Returns an error where the event has no place in the present state.
-    pub fn on(&mut self, event: AttemptEvent) -> Result<(), ChartError> {
+    pub fn on_event(&mut self, event: RequestEvent) -> Result<(), StateChartError> {
         self.machine.fire(event.name()).map(drop)
     }
 
--- a/savoryport_core/tests/ledger_search.rs
+++ b/savoryport_core/tests/ledger_search.rs
@@ -12,8 +12,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use savoryport_core::ledger::{
-    EngineState, HolderId, Order, OrderAnswer, ServerRecord, Step, Steward, WantedItem, Wishes,
-    WriteAnswer,
+    EngineState, HolderId, Order, OrderResponse, ReconcileInput, Reconciler, ServerRecord, Step,
+    WantedItem, WriteResult,
 };
 
 use fake_engine::FakeEngine;
@@ -31,7 +31,7 @@
 
 /// A control process, with the one step that it has under way.
 struct Control {
-    steward: Steward,
+    steward: Reconciler,
     /// A step that was decided and not yet carried out: a pause may come in between.
     decided: Option<Step>,
     answer: Option<Answer>,
@@ -41,13 +41,13 @@
 /// An answer of the engine on its way.
 enum Answer {
     State(EngineState),
-    Order(Order, OrderAnswer),
+    Order(Order, OrderResponse),
 }
 
 impl Control {
     fn new(vm: usize, incarnation: u64) -> Self {
         let id = HolderId { vm: format!("vm-{vm}").into(), incarnation };
-        let steward = Steward::new(id);
+        let steward = Reconciler::new(id);
         Self { steward, decided: None, answer: None, believes_in_lease: false }
     }
 }
@@ -137,7 +137,7 @@
             holder.incarnation < incarnations[vm]
         };
         let control = &mut self.controls[at];
-        let step = control.steward.next(&Wishes {
+        let step = control.steward.next_step(&ReconcileInput {
             plan_version: self.plan_version,
             items: &self.wanted,
             may_unload: &|_| true,
@@ -147,9 +147,9 @@
         });
         if step == Step::Idle {
             if control.believes_in_lease {
-                control.steward.refresh();
+                control.steward.invalidate_engine_state();
             } else {
-                control.steward.forget();
+                control.steward.invalidate();
             }
         }
         step
@@ -177,26 +177,26 @@
         if fate == 0 {
             // Not answered, and applied later or never.
             self.late_writes.push((record.clone(), revision));
-            self.controls[at].steward.on_write(record, WriteAnswer::Unknown);
+            self.controls[at].steward.on_write(record, WriteResult::Unknown);
             return;
         }
         let answer = self.apply_write(&record, revision);
         // The answer may be lost after the write took effect.
-        let answer = if fate == 1 { WriteAnswer::Unknown } else { answer };
+        let answer = if fate == 1 { WriteResult::Unknown } else { answer };
         self.controls[at].steward.on_write(record, answer);
     }
 
-    fn apply_write(&mut self, record: &ServerRecord, revision: u64) -> WriteAnswer {
+    fn apply_write(&mut self, record: &ServerRecord, revision: u64) -> WriteResult {
         if revision != self.revision {
-            return WriteAnswer::Conflict;
+            return WriteResult::Conflict;
         }
         self.record = record.clone();
         self.revision += 1;
-        WriteAnswer::Written(self.revision)
+        WriteResult::Written(self.revision)
     }
 
     fn send(&mut self, at: usize, order: &Order) {
-        self.controls[at].steward.on_send(order);
+        self.controls[at].steward.on_order_sent(order);
         match self.rng.random_range(0..10) {
             // Lost or late: the connection was given up, its bytes may still arrive.
             0 | 1 => {
@@ -228,8 +228,8 @@
     fn deliver(&mut self, at: usize, answer: Answer) {
         let steward = &mut self.controls[at].steward;
         match answer {
-            Answer::State(state) => steward.on_query(state),
-            Answer::Order(order, answer) => steward.on_answer(&order, answer),
+            Answer::State(state) => steward.on_engine_state(state),
+            Answer::Order(order, answer) => steward.on_order_response(&order, answer),
         }
     }
 
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -11,7 +11,9 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use savoryport_core::Name;
-use savoryport_core::ledger::{HolderId, Order, ServerRecord, Step, Steward, Wishes, WriteAnswer};
+use savoryport_core::ledger::{
+    HolderId, Order, ReconcileInput, Reconciler, ServerRecord, Step, WriteResult,
+};
 use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{Replica, Residency, Update};
@@ -30,7 +32,7 @@
     record: ServerRecord,
     revision: u64,
     engine: FakeEngine,
-    steward: Steward,
+    steward: Reconciler,
     incarnation: u64,
     view: Replica,
     late: Vec<Order>,
@@ -40,7 +42,7 @@
     fn step(&mut self, rng: &mut SmallRng) {
         let items = self.view.plan.wanted(&self.name, &self.view.table);
         let incarnation = self.incarnation;
-        let step = self.steward.next(&Wishes {
+        let step = self.steward.next_step(&ReconcileInput {
             plan_version: self.view.plan.version,
             items: &items,
             may_unload: &|item| self.view.may_unload(&self.name, item),
@@ -55,19 +57,19 @@
                 self.record = record.clone();
                 self.revision += 1;
                 let is_lost = rng.random_bool(0.1);
-                let answer = WriteAnswer::Written(self.revision);
-                self.steward.on_write(record, if is_lost { WriteAnswer::Unknown } else { answer });
+                let answer = WriteResult::Written(self.revision);
+                self.steward.on_write(record, if is_lost { WriteResult::Unknown } else { answer });
             }
             Step::Send(order) => {
-                self.steward.on_send(&order);
+                self.steward.on_order_sent(&order);
                 let answer = self.engine.carry_out(&order);
                 match rng.random_range(0..10) {
                     0 => self.late.push(order),
-                    _ => self.steward.on_answer(&order, answer),
+                    _ => self.steward.on_order_response(&order, answer),
                 }
             }
-            Step::Query => self.steward.on_query(self.engine.state()),
-            Step::Idle => self.steward.refresh(),
+            Step::Query => self.steward.on_engine_state(self.engine.state()),
+            Step::Idle => self.steward.invalidate_engine_state(),
         }
     }
 }
@@ -102,7 +104,7 @@
             record: ServerRecord::new(CAPACITY_MIB, true),
             revision: 1,
             engine: FakeEngine::new(CAPACITY_MIB, true),
-            steward: Steward::new(HolderId { vm: format!("vm-{at}").into(), incarnation: 1 }),
+            steward: Reconciler::new(HolderId { vm: format!("vm-{at}").into(), incarnation: 1 }),
             incarnation: 1,
             view: Replica::default(),
             late: Vec::new(),
@@ -189,7 +191,7 @@
         let server = &mut self.servers[at];
         server.incarnation += 1;
         let id = HolderId { vm: format!("vm-{at}").into(), incarnation: server.incarnation };
-        server.steward = Steward::new(id);
+        server.steward = Reconciler::new(id);
     }
 }
 
