--- a/savoryport/src/node/desk.rs
+++ b/savoryport/src/node/desk.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use savoryport_core::Name;
-use savoryport_core::node::duty::Duty;
+use savoryport_core::node::leadership::Duty;
 use savoryport_core::node::orders::EngineLedger;
 use savoryport_core::node::placement::{Move, WeightSource, load_time, weight_source};
 use savoryport_core::node::registry::BackendServer;
--- a/savoryport/src/node/duty.rs
+++ b/savoryport/src/node/duty.rs
@@ -6,7 +6,7 @@
 
 use savoryport_adapter::store::{Committed, StoreError, Transaction};
 use savoryport_core::Name;
-use savoryport_core::node::duty::Duty;
+use savoryport_core::node::leadership::Duty;
 
 use super::context::NodeContext;
 use super::desk::Desk;
--- a/savoryport_core/src/node/mod.rs
+++ b/savoryport_core/src/node/mod.rs
@@ -6,8 +6,8 @@
 pub mod admission;
 pub mod budget;
 pub mod deployment;
-pub mod duty;
 pub mod health;
+pub mod leadership;
 pub mod load;
 pub mod orders;
 pub mod placement;
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -10,8 +10,8 @@
 use savoryport_core::Name;
 use savoryport_core::node::admission::{Prospect, Verdict, judge};
 use savoryport_core::node::budget::{RetryBound, RetryBudget};
-use savoryport_core::node::duty::Duty;
 use savoryport_core::node::health::{HealthBoard, ServerOutcome};
+use savoryport_core::node::leadership::Duty;
 use savoryport_core::node::load::{LoadBoard, ServerLoad};
 use savoryport_core::node::placement::{
     DemandAverage, LoadAllowance, Missing, Neighbour, PlacementInput, PlacementServer,
