--- a/savoryport/src/node/desk.rs
+++ b/savoryport/src/node/desk.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use savoryport_core::Name;
-use savoryport_core::node::leadership::Duty;
+use savoryport_core::node::leadership::Leadership;
 use savoryport_core::node::orders::EngineLedger;
 use savoryport_core::node::placement::{Move, WeightSource, load_time, weight_source};
 use savoryport_core::node::registry::BackendServer;
@@ -34,7 +34,7 @@
     pub cancel: CancellationToken,
     /// The store's lease of the duty.
     pub lease: AtomicU64,
-    duty: Mutex<Duty>,
+    duty: Mutex<Leadership>,
     engines: Mutex<HashMap<Name, EngineHandle>>,
     /// What its placement remembers.
     pub planner: Mutex<Planner>,
@@ -132,7 +132,7 @@
 
 impl Desk {
     /// Makes a desk for a duty that was won.
-    pub fn new(domain: Name, lease: u64, duty: Duty) -> Self {
+    pub fn new(domain: Name, lease: u64, duty: Leadership) -> Self {
         Self {
             domain,
             cancel: CancellationToken::new(),
--- a/savoryport/src/node/duty.rs
+++ b/savoryport/src/node/duty.rs
@@ -6,7 +6,7 @@
 
 use savoryport_adapter::store::{Committed, StoreError, Transaction};
 use savoryport_core::Name;
-use savoryport_core::node::leadership::Duty;
+use savoryport_core::node::leadership::Leadership;
 
 use super::context::NodeContext;
 use super::desk::Desk;
@@ -115,7 +115,7 @@
                     Duration::from_millis(cx.settings.order_turn_ms)
                 };
                 self.held_before.insert(domain.clone());
-                let mut duty = Duty::new(time_to_live);
+                let mut duty = Leadership::new(time_to_live);
                 duty.won(revision, asked_at, cx.lease_clock.now(), hand_over);
                 log::info!(domain = &**domain, token = revision, hand_over_ms = hand_over.as_millis() as u64; "duty taken");
                 let desk = cx.desks.open(cx, Desk::new(domain.clone(), lease, duty));
--- a/savoryport_core/src/node/leadership.rs
+++ b/savoryport_core/src/node/leadership.rs
@@ -10,13 +10,13 @@
 
 /// One duty that this node wants or holds.
 #[derive(Debug, Clone)]
-pub struct Duty {
+pub struct Leadership {
     lease: Lease,
     acts_from: Option<Instant>,
     fencing_token: u64,
 }
 
-impl Duty {
+impl Leadership {
     /// Starts without the duty; the store's lease lives for `time_to_live`.
     pub fn new(time_to_live: Duration) -> Self {
         Self { lease: Lease::new(time_to_live), acts_from: None, fencing_token: 0 }
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -11,7 +11,7 @@
 use savoryport_core::node::admission::{Prospect, Verdict, judge};
 use savoryport_core::node::budget::{RetryBound, RetryBudget};
 use savoryport_core::node::health::{HealthBoard, ServerOutcome};
-use savoryport_core::node::leadership::Duty;
+use savoryport_core::node::leadership::Leadership;
 use savoryport_core::node::load::{LoadBoard, ServerLoad};
 use savoryport_core::node::placement::{
     DemandAverage, LoadAllowance, Missing, Neighbour, PlacementInput, PlacementServer,
@@ -331,7 +331,7 @@
 #[test]
 fn a_holder_waits_a_whole_turn_and_stops_before_its_lease_can_lapse() {
     let (now, lease, turn) = (Instant::now(), ms(2_000), ms(3_000));
-    let mut duty = Duty::new(lease);
+    let mut duty = Leadership::new(lease);
     duty.won(41, now, now, turn);
     assert_eq!(duty.may_order(now + ms(100)), None);
     for step in 1..=4 {
@@ -345,7 +345,7 @@
 #[test]
 fn a_thawed_holder_gives_no_order() {
     let (now, lease) = (Instant::now(), ms(2_000));
-    let mut duty = Duty::new(lease);
+    let mut duty = Leadership::new(lease);
     duty.won(41, now, now, Duration::ZERO);
     assert_eq!(duty.may_order(now), Some(41));
     assert_eq!(duty.may_order(now + Duration::from_secs(6)), None);
