--- a/savoryport/src/node/desk.rs
+++ b/savoryport/src/node/desk.rs
@@ -148,7 +148,7 @@
         if cx.stopping.is_cancelled() || self.cancel.is_cancelled() {
             return None;
         }
-        self.duty.lock().expect("no holder panics").may_order(cx.lease_clock.now())
+        self.duty.lock().expect("no holder panics").active_token(cx.lease_clock.now())
     }
 
     /// Notes a renewal that was sent at this time of the lease clock.
--- a/savoryport_core/src/node/leadership.rs
+++ b/savoryport_core/src/node/leadership.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns the fencing token for an order, if orders may be given now.
-    pub fn may_order(&self, now: Instant) -> Option<u64> {
+    pub fn active_token(&self, now: Instant) -> Option<u64> {
         let acts = self.acts_from.is_some_and(|from| now >= from) && self.lease.may_act(now);
         acts.then_some(self.fencing_token)
     }
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -333,13 +333,13 @@
     let (now, lease, turn) = (Instant::now(), ms(2_000), ms(3_000));
     let mut duty = Leadership::new(lease);
     duty.won(41, now, now, turn);
-    assert_eq!(duty.may_order(now + ms(100)), None);
+    assert_eq!(duty.active_token(now + ms(100)), None);
     for step in 1..=4 {
         duty.renewed(now + ms(700 * step));
     }
-    assert_eq!(duty.may_order(now + ms(3_100)), Some(41));
+    assert_eq!(duty.active_token(now + ms(3_100)), Some(41));
     // The last renewal was sent at 2,800 ms, so the store may give the duty away at 4,800 ms.
-    assert_eq!(duty.may_order(now + ms(4_700)), None);
+    assert_eq!(duty.active_token(now + ms(4_700)), None);
 }
 
 #[test]
@@ -347,8 +347,8 @@
     let (now, lease) = (Instant::now(), ms(2_000));
     let mut duty = Leadership::new(lease);
     duty.won(41, now, now, Duration::ZERO);
-    assert_eq!(duty.may_order(now), Some(41));
-    assert_eq!(duty.may_order(now + Duration::from_secs(6)), None);
+    assert_eq!(duty.active_token(now), Some(41));
+    assert_eq!(duty.active_token(now + Duration::from_secs(6)), None);
 }
 
 #[test]
