--- a/savoryport/src/node/desk.rs
+++ b/savoryport/src/node/desk.rs
@@ -7,7 +7,7 @@
 
 use savoryport_core::Name;
 use savoryport_core::node::leadership::Leadership;
-use savoryport_core::node::orders::EngineLedger;
+use savoryport_core::node::orders::EngineContents;
 use savoryport_core::node::placement::{Move, WeightSource, load_time, weight_source};
 use savoryport_core::node::registry::BackendServer;
 use tokio::sync::oneshot;
@@ -190,7 +190,7 @@
 
 impl Desk {
     /// Returns what the desk knows of its engines, for the status page.
-    pub fn engines(&self) -> Vec<(Name, EngineLedger, Option<Move>)> {
+    pub fn engines(&self) -> Vec<(Name, EngineContents, Option<Move>)> {
         let engines = self.engines.lock().expect("no holder panics");
         let known = engines.iter();
         known.map(|(id, engine)| (id.clone(), engine.ledger().clone(), engine.moving())).collect()
--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -7,7 +7,7 @@
 use savoryport_adapter::engine;
 use savoryport_core::Name;
 use savoryport_core::node::deployment::EngineClass;
-use savoryport_core::node::orders::{EngineLedger, Order, OrderAnswer, OrderObstacle};
+use savoryport_core::node::orders::{EngineContents, Order, OrderAnswer, OrderObstacle};
 use savoryport_core::node::placement::{Move, load_time};
 use savoryport_core::node::registry::{BackendServer, ResidentModel};
 use tokio::sync::{mpsc, oneshot};
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone)]
 pub struct EngineHandle {
     commands: mpsc::UnboundedSender<Command>,
-    ledger: Arc<Mutex<EngineLedger>>,
+    ledger: Arc<Mutex<EngineContents>>,
     /// The move under way.
     moving: Arc<Mutex<Option<Move>>>,
 }
@@ -113,7 +113,7 @@
     }
 
     /// Locks the ledger for a moment.
-    pub fn ledger(&self) -> MutexGuard<'_, EngineLedger> {
+    pub fn ledger(&self) -> MutexGuard<'_, EngineContents> {
         self.ledger.lock().expect("no holder panics")
     }
 }
@@ -137,7 +137,7 @@
     cx: Arc<NodeContext>,
     desk: Arc<Desk>,
     server: Name,
-    ledger: Arc<Mutex<EngineLedger>>,
+    ledger: Arc<Mutex<EngineContents>>,
     moving: Arc<Mutex<Option<Move>>>,
     draining: Option<Draining>,
     loading: Option<Loading>,
@@ -174,7 +174,7 @@
         }
     }
 
-    fn ledger(&self) -> MutexGuard<'_, EngineLedger> {
+    fn ledger(&self) -> MutexGuard<'_, EngineContents> {
         self.ledger.lock().expect("no holder panics")
     }
 
@@ -485,7 +485,7 @@
 fn add_adapter(
     cx: &NodeContext,
     server: &Name,
-    ledger: &Mutex<EngineLedger>,
+    ledger: &Mutex<EngineContents>,
     (model, adapter): &(Name, Name),
 ) {
     let held = ledger.lock().expect("no holder panics").holds_adapter(model, adapter);
--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -116,7 +116,7 @@
 
 /// The contents of one server at a known count of orders.
 #[derive(Debug, Clone, Default)]
-pub struct EngineLedger {
+pub struct EngineContents {
     incarnation: u64,
     accepted_orders: Option<u64>,
     /// The server has accepted at least so many orders; a report with fewer is an old one.
@@ -133,7 +133,7 @@
     last_used: Instant,
 }
 
-impl EngineLedger {
+impl EngineContents {
     /// Takes a report, which replaces everything; returns whether it did. Reports lag, so one from
     /// before an order that the server is known to have accepted tells nothing.
     pub fn reset(&mut self, report: &EngineReport, now: Instant) -> bool {
--- a/savoryport_core/tests/order_search.rs
+++ b/savoryport_core/tests/order_search.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use savoryport_core::Name;
 use savoryport_core::node::deployment::EngineClass;
-use savoryport_core::node::orders::{EngineLedger, EngineReport, Order, OrderAnswer};
+use savoryport_core::node::orders::{EngineContents, EngineReport, Order, OrderAnswer};
 
 /// Interleavings that one run tries.
 const RUNS: u64 = 20_000;
@@ -100,7 +100,7 @@
     let mut server = FakeServer { incarnation: 1, ..FakeServer::default() };
     let mut reports = vec![server.report()];
     let mut late: Vec<(Order, u64, u64)> = Vec::new();
-    let mut ledgers = [EngineLedger::default(), EngineLedger::default()];
+    let mut ledgers = [EngineContents::default(), EngineContents::default()];
     let mut holder = 0;
     let mut now = Instant::now();
     for _ in 0..STEPS {
@@ -186,7 +186,7 @@
 fn a_report_from_before_an_accepted_order_changes_nothing() {
     let (class, now) = (class(), Instant::now());
     let mut server = FakeServer { incarnation: 1, ..FakeServer::default() };
-    let mut ledger = EngineLedger::default();
+    let mut ledger = EngineContents::default();
     let old = server.report();
     assert!(ledger.reset(&old, now));
     let order = Order::LoadModel("m0".into());
