--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -7,7 +7,7 @@
 use savoryport_adapter::engine;
 use savoryport_core::Name;
 use savoryport_core::node::deployment::EngineClass;
-use savoryport_core::node::orders::{EngineContents, Order, OrderAnswer, OrderObstacle};
+use savoryport_core::node::orders::{EngineContents, Order, OrderAnswer, OrderError};
 use savoryport_core::node::placement::{Move, load_time};
 use savoryport_core::node::registry::{BackendServer, ResidentModel};
 use tokio::sync::{mpsc, oneshot};
@@ -279,17 +279,13 @@
     }
 
     /// Gives an order if this node may; returns the server's answer.
-    async fn give(
-        &mut self,
-        order: &Order,
-        busy_for: Duration,
-    ) -> Result<OrderAnswer, OrderObstacle> {
-        let (server, class) = self.target().ok_or(OrderObstacle::Unknown)?;
-        let token = self.desk.may_order(&self.cx).ok_or(OrderObstacle::Unknown)?;
+    async fn give(&mut self, order: &Order, busy_for: Duration) -> Result<OrderAnswer, OrderError> {
+        let (server, class) = self.target().ok_or(OrderError::Unknown)?;
+        let token = self.desk.may_order(&self.cx).ok_or(OrderError::Unknown)?;
         let expected = {
             let ledger = self.ledger();
             ledger.check(order, &class, self.cx.now())?;
-            ledger.expected_orders().ok_or(OrderObstacle::Unknown)?
+            ledger.expected_orders().ok_or(OrderError::Unknown)?
         };
         let authority = engine::Authority {
             holder: &self.cx.settings.vm,
@@ -350,7 +346,7 @@
                 Ok(OrderAnswer::AlreadyHolds) => return WishReply::Ready,
                 Ok(OrderAnswer::Rejected) => return WishReply::Unavailable,
                 Ok(OrderAnswer::Conflict | OrderAnswer::Unanswered) => {}
-                Err(OrderObstacle::NoPlace) => {
+                Err(OrderError::NoPlace) => {
                     let Some((model, adapter)) = self.ledger().adapter_victim(self.cx.now()) else {
                         return WishReply::Unavailable;
                     };
@@ -364,7 +360,7 @@
         WishReply::Unavailable
     }
 
-    async fn drop_adapter(&mut self, model: &Name, adapter: &Name) -> Result<(), OrderObstacle> {
+    async fn drop_adapter(&mut self, model: &Name, adapter: &Name) -> Result<(), OrderError> {
         let order = Order::UnloadAdapter { model: model.clone(), adapter: adapter.clone() };
         self.arriving.remove(&(model.clone(), adapter.clone()));
         self.give(&order, Duration::ZERO).await?;
@@ -383,14 +379,14 @@
         self.publish();
     }
 
-    async fn try_move(&mut self, wanted: &Move) -> Result<(), OrderObstacle> {
+    async fn try_move(&mut self, wanted: &Move) -> Result<(), OrderError> {
         for model in &wanted.unload {
             let order = Order::UnloadModel(model.clone());
             self.insist(&order, Duration::ZERO).await?;
             tokio::time::sleep(UNLOAD_PAUSE).await;
         }
-        let (_, class) = self.target().ok_or(OrderObstacle::Unknown)?;
-        let spec = class.models.get(&wanted.load).ok_or(OrderObstacle::NoModel)?;
+        let (_, class) = self.target().ok_or(OrderError::Unknown)?;
+        let spec = class.models.get(&wanted.load).ok_or(OrderError::NoModel)?;
         let expected = load_time(spec, wanted.source);
         let order = Order::LoadModel(wanted.load.clone());
         if self.insist(&order, expected * MAX_LOAD_FACTOR).await? == OrderAnswer::Accepted {
@@ -407,20 +403,20 @@
         &mut self,
         order: &Order,
         busy_for: Duration,
-    ) -> Result<OrderAnswer, OrderObstacle> {
+    ) -> Result<OrderAnswer, OrderError> {
         for _ in 0..MAX_REPORTS {
             if !self.learn_contents().await {
-                return Err(OrderObstacle::Unknown);
+                return Err(OrderError::Unknown);
             }
             let answer = self.give(order, busy_for).await?;
             match answer {
                 OrderAnswer::Accepted | OrderAnswer::AlreadyHolds => return Ok(answer),
-                OrderAnswer::Rejected => return Err(OrderObstacle::Unknown),
+                OrderAnswer::Rejected => return Err(OrderError::Unknown),
                 OrderAnswer::Unanswered => {}
                 OrderAnswer::Conflict => tokio::time::sleep(REPORT_PAUSE).await,
             }
         }
-        Err(OrderObstacle::Busy)
+        Err(OrderError::Busy)
     }
 
     /// Asks a server that is loading whether it is done.
--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -93,7 +93,7 @@
 
 /// Why an order is not given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum OrderObstacle {
+pub enum OrderError {
     /// The contents of the server are not known at present.
     #[error("the server's contents are not known")]
     Unknown,
@@ -262,28 +262,28 @@
         order: &Order,
         class: &EngineClass,
         now: Instant,
-    ) -> Result<(), OrderObstacle> {
+    ) -> Result<(), OrderError> {
         if self.accepted_orders.is_none() {
-            return Err(OrderObstacle::Unknown);
+            return Err(OrderError::Unknown);
         }
         if self.is_busy(now) {
-            return Err(OrderObstacle::Busy);
+            return Err(OrderError::Busy);
         }
         let spec = class.models.get(order.model());
         match order {
             Order::LoadModel(_) => {
                 let fits = spec.is_some_and(|spec| spec.memory_mb <= self.free_mb(class));
-                if fits { Ok(()) } else { Err(OrderObstacle::NoMemory) }
+                if fits { Ok(()) } else { Err(OrderError::NoMemory) }
             }
             Order::LoadAdapter { model, .. } => {
                 if !self.holds(model) {
-                    Err(OrderObstacle::NoModel)
+                    Err(OrderError::NoModel)
                 } else if self.adapters().count() >= class.adapter_places {
-                    Err(OrderObstacle::NoPlace)
+                    Err(OrderError::NoPlace)
                 } else if spec.is_some_and(|spec| spec.adapter_mb <= self.free_mb(class)) {
                     Ok(())
                 } else {
-                    Err(OrderObstacle::NoMemory)
+                    Err(OrderError::NoMemory)
                 }
             }
             Order::UnloadModel(_) | Order::UnloadAdapter { .. } => Ok(()),
