--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -346,7 +346,7 @@
                 Ok(OrderAnswer::AlreadyHolds) => return WishReply::Ready,
                 Ok(OrderAnswer::Rejected) => return WishReply::Unavailable,
                 Ok(OrderAnswer::Conflict | OrderAnswer::Unanswered) => {}
-                Err(OrderError::NoPlace) => {
+                Err(OrderError::NoAdapterSlot) => {
                     let Some((model, adapter)) = self.ledger().adapter_victim(self.cx.now()) else {
                         return WishReply::Unavailable;
                     };
--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -105,7 +105,7 @@
     NoMemory,
     /// Every place for adapters is taken.
     #[error("no place for another adapter")]
-    NoPlace,
+    NoAdapterSlot,
     /// The adapter's model is not there.
     #[error("the model is not resident")]
     NoModel,
@@ -279,7 +279,7 @@
                 if !self.holds(model) {
                     Err(OrderError::NoModel)
                 } else if self.adapters().count() >= class.adapter_places {
-                    Err(OrderError::NoPlace)
+                    Err(OrderError::NoAdapterSlot)
                 } else if spec.is_some_and(|spec| spec.adapter_mb <= self.free_mb(class)) {
                     Ok(())
                 } else {
