--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -386,7 +386,7 @@
             tokio::time::sleep(UNLOAD_PAUSE).await;
         }
         let (_, class) = self.target().ok_or(OrderError::Unknown)?;
-        let spec = class.models.get(&wanted.load).ok_or(OrderError::NoModel)?;
+        let spec = class.models.get(&wanted.load).ok_or(OrderError::ModelNotResident)?;
         let expected = load_time(spec, wanted.source);
         let order = Order::LoadModel(wanted.load.clone());
         if self.insist(&order, expected * MAX_LOAD_FACTOR).await? == OrderAnswer::Accepted {
--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -108,7 +108,7 @@
     NoAdapterSlot,
     /// The adapter's model is not there.
     #[error("the model is not resident")]
-    NoModel,
+    ModelNotResident,
 }
 
 /// The incarnation before the first report.
@@ -277,7 +277,7 @@
             }
             Order::LoadAdapter { model, .. } => {
                 if !self.holds(model) {
-                    Err(OrderError::NoModel)
+                    Err(OrderError::ModelNotResident)
                 } else if self.adapters().count() >= class.adapter_places {
                     Err(OrderError::NoAdapterSlot)
                 } else if spec.is_some_and(|spec| spec.adapter_mb <= self.free_mb(class)) {
