--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -233,7 +233,7 @@
             match engine::report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await {
                 Ok(report) => {
                     self.cx.metrics.reports.inc();
-                    self.ledger().reset(&report, self.cx.now());
+                    self.ledger().apply_report(&report, self.cx.now());
                     self.publish();
                 }
                 Err(err) => log::debug!(server = &*self.server, err:% = err; "no report"),
@@ -261,7 +261,7 @@
                     server = &*self.server, incarnation = report.incarnation;
                     "server restarted"
                 );
-                self.ledger().reset(&report, self.cx.now());
+                self.ledger().apply_report(&report, self.cx.now());
                 self.forget_moves();
                 self.publish();
             }
--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -136,7 +136,7 @@
 impl EngineContents {
     /// Takes a report, which replaces everything; returns whether it did. Reports lag, so one from
     /// before an order that the server is known to have accepted tells nothing.
-    pub fn reset(&mut self, report: &EngineReport, now: Instant) -> bool {
+    pub fn apply_report(&mut self, report: &EngineReport, now: Instant) -> bool {
         let is_same_start = report.incarnation == self.incarnation;
         if is_same_start && report.accepted_orders < self.floor {
             return false;
--- a/savoryport_core/tests/order_search.rs
+++ b/savoryport_core/tests/order_search.rs
@@ -128,7 +128,7 @@
                 // Reports lag: an older one may come.
                 let lag = rng.random_range(0..reports.len().min(3));
                 let report = reports[reports.len() - 1 - lag].clone();
-                ledgers[holder].reset(&report, now);
+                ledgers[holder].apply_report(&report, now);
             }
             _ => {
                 let order = random_order(&mut rng);
@@ -188,11 +188,11 @@
     let mut server = FakeServer { incarnation: 1, ..FakeServer::default() };
     let mut ledger = EngineContents::default();
     let old = server.report();
-    assert!(ledger.reset(&old, now));
+    assert!(ledger.apply_report(&old, now));
     let order = Order::LoadModel("m0".into());
     assert_eq!(ledger.check(&order, &class, now), Ok(()));
     let answer = server.take(&order, 0);
     ledger.apply(&order, answer, Duration::ZERO, now);
-    assert!(!ledger.reset(&old, now));
+    assert!(!ledger.apply_report(&old, now));
     assert!(ledger.holds("m0"));
 }
