--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -446,7 +446,7 @@
             if is_done && !restarted {
                 ledger.settled();
             } else {
-                ledger.doubt();
+                ledger.invalidate();
             }
             drop(ledger);
             self.publish();
--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -162,7 +162,7 @@
     }
 
     /// Forgets what the count is; the next order needs a report first.
-    pub fn doubt(&mut self) {
+    pub fn invalidate(&mut self) {
         self.accepted_orders = None;
     }
 
@@ -325,7 +325,7 @@
             }
             // The same order again settles it: only one of the two finds the expected count.
             OrderAnswer::Unanswered => {}
-            OrderAnswer::Conflict | OrderAnswer::Rejected => self.doubt(),
+            OrderAnswer::Conflict | OrderAnswer::Rejected => self.invalidate(),
         }
     }
 
--- a/savoryport_core/tests/order_search.rs
+++ b/savoryport_core/tests/order_search.rs
@@ -113,7 +113,7 @@
             }
             2 => {
                 holder = 1 - holder;
-                ledgers[holder].doubt();
+                ledgers[holder].invalidate();
             }
             3 if !late.is_empty() => {
                 let (order, expected, incarnation) =
