--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -302,7 +302,13 @@
     }
 
     /// Takes the server's answer; `busy_for` is how long a load of a model is expected to take.
-    pub fn apply(&mut self, order: &Order, answer: OrderAnswer, busy_for: Duration, now: Instant) {
+    pub fn apply_answer(
+        &mut self,
+        order: &Order,
+        answer: OrderAnswer,
+        busy_for: Duration,
+        now: Instant,
+    ) {
         match answer {
             OrderAnswer::Accepted => {
                 self.count_order();
--- a/savoryport_core/tests/order_search.rs
+++ b/savoryport_core/tests/order_search.rs
@@ -148,7 +148,7 @@
                     let answer = server.take(&order, expected);
                     if rng.random_bool(0.1) { OrderAnswer::Unanswered } else { answer }
                 };
-                ledger.apply(&order, answer, Duration::ZERO, now);
+                ledger.apply_answer(&order, answer, Duration::ZERO, now);
             }
         }
         server.assert_fits(&class, seed);
@@ -192,7 +192,7 @@
     let order = Order::LoadModel("m0".into());
     assert_eq!(ledger.check(&order, &class, now), Ok(()));
     let answer = server.take(&order, 0);
-    ledger.apply(&order, answer, Duration::ZERO, now);
+    ledger.apply_answer(&order, answer, Duration::ZERO, now);
     assert!(!ledger.apply_report(&old, now));
     assert!(ledger.holds("m0"));
 }
