--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -444,7 +444,7 @@
             self.end_move();
             let mut ledger = self.ledger();
             if is_done && !restarted {
-                ledger.settled();
+                ledger.clear_busy();
             } else {
                 ledger.invalidate();
             }
--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -336,7 +336,7 @@
     }
 
     /// Notes that the server is done with its load or unload.
-    pub fn settled(&mut self) {
+    pub fn clear_busy(&mut self) {
         self.busy_until = None;
     }
 
