--- a/savoryport/src/node/desk.rs
+++ b/savoryport/src/node/desk.rs
@@ -181,7 +181,7 @@
                 engines.insert(server.id.clone(), handle);
             }
             let Some(engine) = engines.get(&server.id) else { continue };
-            if engine.ledger().is_of_other_start(server.incarnation) {
+            if engine.ledger().is_other_incarnation(server.incarnation) {
                 engine.send(Command::Restarted);
             }
         }
--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -251,7 +251,7 @@
         let now = self.cx.now();
         let is_recent = self.checked_at.is_some_and(|at| now - at < REPORT_PAUSE);
         let Some((server, _)) = self.target() else { return };
-        if is_recent || !self.ledger().is_of_other_start(server.incarnation) {
+        if is_recent || !self.ledger().is_other_incarnation(server.incarnation) {
             return;
         }
         self.checked_at = Some(now);
--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -177,7 +177,7 @@
     }
 
     /// Returns whether the contents are those of another start of the server than this one.
-    pub fn is_of_other_start(&self, incarnation: u64) -> bool {
+    pub fn is_other_incarnation(&self, incarnation: u64) -> bool {
         self.incarnation != UNKNOWN_INCARNATION && self.incarnation != incarnation
     }
 
