--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -75,7 +75,7 @@
         if let Some(engine) = engines.get(&usage.server) {
             let mut ledger = engine.ledger();
             let adapter = usage.adapter.as_deref();
-            ledger.note_use(&usage.model, adapter, usage.requests, cx.now());
+            ledger.add_use(&usage.model, adapter, usage.requests, cx.now());
         }
     }
 }
--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -228,7 +228,7 @@
     }
 
     /// Notes that a model, or an adapter of it, is used by so many more requests.
-    pub fn note_use(&mut self, model: &Name, adapter: Option<&str>, requests: u32, now: Instant) {
+    pub fn add_use(&mut self, model: &Name, adapter: Option<&str>, requests: u32, now: Instant) {
         *self.requests.entry(model.clone()).or_default() += requests;
         let adapters = self.models.get_mut(model);
         let usage = adapter.and_then(|adapter| adapters?.get_mut(adapter));
@@ -314,7 +314,7 @@
                 self.count_order();
                 if let Order::UnloadAdapter { model, adapter } = order {
                     // Requests still use it, so it keeps its place until they end.
-                    self.note_use(model, Some(adapter), 1, now);
+                    self.add_use(model, Some(adapter), 1, now);
                     return;
                 }
                 self.take_effect(order, now);
