--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -347,7 +347,8 @@
                 Ok(OrderAnswer::Rejected) => return WishReply::Unavailable,
                 Ok(OrderAnswer::Conflict | OrderAnswer::Unanswered) => {}
                 Err(OrderError::NoAdapterSlot) => {
-                    let Some((model, adapter)) = self.ledger().adapter_victim(self.cx.now()) else {
+                    let Some((model, adapter)) = self.ledger().evictable_adapter(self.cx.now())
+                    else {
                         return WishReply::Unavailable;
                     };
                     if self.drop_adapter(&model, &adapter).await.is_err() {
--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -291,7 +291,7 @@
     }
 
     /// Returns the adapter that makes way for another: the one unused for longest.
-    pub fn adapter_victim(&self, now: Instant) -> Option<(Name, Name)> {
+    pub fn evictable_adapter(&self, now: Instant) -> Option<(Name, Name)> {
         let all = self.models.iter().flat_map(|(model, adapters)| {
             adapters.iter().map(move |(adapter, usage)| (model, adapter, usage))
         });
