--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -217,7 +217,7 @@
         let service = self.deployment.services.get(&self.service);
         let limit = service.map_or(u32::MAX, |service| service.connection_limit);
         let share = (limit / nodes).max(1);
-        let adapter_places = self.engine_class().map_or(0, |class| class.adapter_places);
+        let adapter_places = self.engine_class().map_or(0, |class| class.adapter_capacity);
         let (copy, now) = (self.copy_name(), self.cx.now());
         let boards = self.cx.boards.lock();
         let (own, health) = (boards.loads.own(), &boards.health);
--- a/savoryport_core/src/node/deployment.rs
+++ b/savoryport_core/src/node/deployment.rs
@@ -100,7 +100,7 @@
     /// Memory for weights and adapters in MB.
     pub memory_mb: f64,
     /// Adapters that a server holds at most.
-    pub adapter_places: usize,
+    pub adapter_capacity: usize,
     /// Loads from the weight store a second over all servers.
     pub loads_per_s: f64,
     /// Tokens in one event of a stream.
--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -278,7 +278,7 @@
             Order::LoadAdapter { model, .. } => {
                 if !self.holds(model) {
                     Err(OrderError::ModelNotResident)
-                } else if self.adapters().count() >= class.adapter_places {
+                } else if self.adapters().count() >= class.adapter_capacity {
                     Err(OrderError::NoAdapterSlot)
                 } else if spec.is_some_and(|spec| spec.adapter_mb <= self.free_mb(class)) {
                     Ok(())
--- a/savoryport_core/tests/node_support/mod.rs
+++ b/savoryport_core/tests/node_support/mod.rs
@@ -46,7 +46,7 @@
         slots: 64,
         cache_tokens: 250_000,
         memory_mb: 220_000.0,
-        adapter_places: 4,
+        adapter_capacity: 4,
         loads_per_s: 2.0,
         event_tokens: 5,
         copy_ms_per_token: None,
--- a/savoryport_core/tests/order_search.rs
+++ b/savoryport_core/tests/order_search.rs
@@ -90,7 +90,7 @@
         let memory: f64 = self.models.keys().map(|model| class.models[model].memory_mb).sum();
         let memory = memory + 100.0 * adapters as f64;
         assert!(memory <= class.memory_mb, "seed {seed}: {memory} MB ordered");
-        assert!(adapters <= class.adapter_places, "seed {seed}: {adapters} adapters ordered");
+        assert!(adapters <= class.adapter_capacity, "seed {seed}: {adapters} adapters ordered");
     }
 }
 
