--- a/savoryport_core/src/node/deployment.rs
+++ b/savoryport_core/src/node/deployment.rs
@@ -104,7 +104,7 @@
     /// Loads from the weight store a second over all servers.
     pub loads_per_s: f64,
     /// Tokens in one event of a stream.
-    pub event_tokens: u32,
+    pub tokens_per_event: u32,
     /// Milliseconds to copy one cached token from another server, where engines do that.
     pub copy_ms_per_token: Option<f64>,
     /// The models, by name.
--- a/savoryport_core/tests/node_support/mod.rs
+++ b/savoryport_core/tests/node_support/mod.rs
@@ -48,7 +48,7 @@
         memory_mb: 220_000.0,
         adapter_capacity: 4,
         loads_per_s: 2.0,
-        event_tokens: 5,
+        tokens_per_event: 5,
         copy_ms_per_token: None,
         models,
     }
