--- a/savoryport_core/src/node/deployment.rs
+++ b/savoryport_core/src/node/deployment.rs
@@ -81,7 +81,7 @@
     /// Memory for its weights in MB.
     pub memory_mb: f64,
     /// The time to load it from the weight store.
-    pub load_from_store: Duration,
+    pub store_load_time: Duration,
     /// The time to load it from the server's disk.
     pub load_from_disk: Duration,
     /// The time to load it from the server's host memory.
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -62,7 +62,7 @@
     match source {
         WeightSource::Memory => spec.load_from_memory,
         WeightSource::Disk => spec.load_from_disk,
-        WeightSource::Store => spec.load_from_store,
+        WeightSource::Store => spec.store_load_time,
     }
 }
 
--- a/savoryport_core/tests/node_support/mod.rs
+++ b/savoryport_core/tests/node_support/mod.rs
@@ -35,7 +35,7 @@
     let spec = |number: usize| ModelSpec {
         name: format!("m{number}").into(),
         memory_mb: 70_000.0,
-        load_from_store: Duration::from_secs(4),
+        store_load_time: Duration::from_secs(4),
         load_from_disk: Duration::from_millis(800),
         load_from_memory: Duration::from_millis(400),
         adapter_mb: 100.0,
