--- a/savoryport_core/src/node/deployment.rs
+++ b/savoryport_core/src/node/deployment.rs
@@ -83,7 +83,7 @@
     /// The time to load it from the weight store.
     pub store_load_time: Duration,
     /// The time to load it from the server's disk.
-    pub load_from_disk: Duration,
+    pub disk_load_time: Duration,
     /// The time to load it from the server's host memory.
     pub load_from_memory: Duration,
     /// Memory for one of its adapters in MB.
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -61,7 +61,7 @@
 pub fn load_time(spec: &ModelSpec, source: WeightSource) -> Duration {
     match source {
         WeightSource::Memory => spec.load_from_memory,
-        WeightSource::Disk => spec.load_from_disk,
+        WeightSource::Disk => spec.disk_load_time,
         WeightSource::Store => spec.store_load_time,
     }
 }
--- a/savoryport_core/tests/node_support/mod.rs
+++ b/savoryport_core/tests/node_support/mod.rs
@@ -36,7 +36,7 @@
         name: format!("m{number}").into(),
         memory_mb: 70_000.0,
         store_load_time: Duration::from_secs(4),
-        load_from_disk: Duration::from_millis(800),
+        disk_load_time: Duration::from_millis(800),
         load_from_memory: Duration::from_millis(400),
         adapter_mb: 100.0,
     };
