--- a/savoryport_core/src/node/deployment.rs
+++ b/savoryport_core/src/node/deployment.rs
@@ -85,7 +85,7 @@
     /// The time to load it from the server's disk.
     pub disk_load_time: Duration,
     /// The time to load it from the server's host memory.
-    pub load_from_memory: Duration,
+    pub memory_load_time: Duration,
     /// Memory for one of its adapters in MB.
     pub adapter_mb: f64,
 }
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -60,7 +60,7 @@
 /// Returns how long a load from there takes.
 pub fn load_time(spec: &ModelSpec, source: WeightSource) -> Duration {
     match source {
-        WeightSource::Memory => spec.load_from_memory,
+        WeightSource::Memory => spec.memory_load_time,
         WeightSource::Disk => spec.disk_load_time,
         WeightSource::Store => spec.store_load_time,
     }
--- a/savoryport_core/tests/node_support/mod.rs
+++ b/savoryport_core/tests/node_support/mod.rs
@@ -37,7 +37,7 @@
         memory_mb: 70_000.0,
         store_load_time: Duration::from_secs(4),
         disk_load_time: Duration::from_millis(800),
-        load_from_memory: Duration::from_millis(400),
+        memory_load_time: Duration::from_millis(400),
         adapter_mb: 100.0,
     };
     let models: BTreeMap<Name, ModelSpec> =
