--- a/savoryport/src/node/callers.rs
+++ b/savoryport/src/node/callers.rs
@@ -78,7 +78,7 @@
     }
     let limits = cx.fleet.view().deployment().map(|deployment| deployment.limits);
     let idle = limits.map_or(IDLE_TIMEOUT, |limits| limits.idle_timeout);
-    let head = limits.map_or(MAX_HEAD_BYTES, |limits| limits.header_bytes.max(MIN_HEAD_BYTES));
+    let head = limits.map_or(MAX_HEAD_BYTES, |limits| limits.max_header_bytes.max(MIN_HEAD_BYTES));
     let service = service_fn(|req| answer(cx.clone(), req));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/savoryport_core/src/node/deployment.rs
+++ b/savoryport_core/src/node/deployment.rs
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// The longest head in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// The longest body in bytes.
     pub body_bytes: usize,
     /// The time for the head of a request.
