--- a/savoryport/src/node/intake.rs
+++ b/savoryport/src/node/intake.rs
@@ -86,7 +86,7 @@
     deployment: &Deployment,
     within: Duration,
 ) -> Result<Bytes, Refusal> {
-    let limited = Limited::new(body, deployment.limits.body_bytes);
+    let limited = Limited::new(body, deployment.limits.max_body_bytes);
     match tokio::time::timeout(within, limited.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(err)) if err.is::<LengthLimitError>() => Err(Refusal::of(Cause::BodyTooLong)),
--- a/savoryport_core/src/node/deployment.rs
+++ b/savoryport_core/src/node/deployment.rs
@@ -128,7 +128,7 @@
     /// The longest head in bytes.
     pub max_header_bytes: usize,
     /// The longest body in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// The time for the head of a request.
     pub header_timeout: Duration,
     /// The time that a connection may stay without a request.
