--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -184,7 +184,7 @@
             expected: choice.expected,
             elapsed: if has_begun { Duration::ZERO } else { now - self.arrived },
             queued: if has_begun { Duration::ZERO } else { now - self.queued_since },
-            target: self.route.target,
+            target: self.route.target_latency,
             left: self.left(),
         };
         let priority = match judge(&prospect, self.cx.draw()) {
@@ -276,7 +276,7 @@
         let Some(expected) = self.wish_for_model(&asked.model).await else {
             return Err(self.later(Cause::NoModel));
         };
-        let is_on_time = self.cx.now() - self.arrived + expected < self.route.target;
+        let is_on_time = self.cx.now() - self.arrived + expected < self.route.target_latency;
         if !is_on_time && expected > self.left().mul_f64(LOAD_SHARE) {
             return Err(Refusal::retry(Cause::NoModel, retry_after(expected, self.cx.draw())));
         }
--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -338,7 +338,7 @@
             return tokio::time::timeout(self.left(), answer).await.ok();
         }
         let stall = (picked.expected * STALL_FACTOR).max(MIN_STALL);
-        if stall < self.route.target.mul_f64(STALL_TARGET_SHARE) {
+        if stall < self.route.target_latency.mul_f64(STALL_TARGET_SHARE) {
             if let Ok(answer) = tokio::time::timeout(stall, answer.as_mut()).await {
                 return Some(answer);
             }
--- a/savoryport_core/src/node/deployment.rs
+++ b/savoryport_core/src/node/deployment.rs
@@ -48,7 +48,7 @@
     /// The longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// The time to the answer, or to the first event, that callers expect.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// The rank of work; 0 is the most urgent.
     pub rank: u8,
     /// The most servers to which one request is sent.
