--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use savoryport_core::Name;
-use savoryport_core::node::admission::{Prospect, Verdict, judge, retry_after};
+use savoryport_core::node::admission::{AdmissionDecision, Prospect, judge, retry_after};
 use savoryport_core::node::deployment::EngineClass;
 use savoryport_core::node::placement::owner;
 use savoryport_core::node::registry::BackendServer;
@@ -188,8 +188,8 @@
             left: self.left(),
         };
         let priority = match judge(&prospect, self.cx.draw()) {
-            Verdict::Serve { priority } => priority,
-            Verdict::Refuse { retry_after } => {
+            AdmissionDecision::Serve { priority } => priority,
+            AdmissionDecision::Refuse { retry_after } => {
                 return Look::Overload { expected: choice.expected, retry_after };
             }
         };
--- a/savoryport_core/src/node/admission.rs
+++ b/savoryport_core/src/node/admission.rs
@@ -34,7 +34,7 @@
 
 /// How a request is dealt with.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// It is sent, with this priority for the engine; 0 goes first.
     Serve {
         /// The engine's priority.
@@ -65,13 +65,13 @@
 }
 
 /// Judges a request; `draw` is uniform in 0..1.
-pub fn judge(prospect: &Prospect, draw: f64) -> Verdict {
+pub fn judge(prospect: &Prospect, draw: f64) -> AdmissionDecision {
     if prospect.expected > longest_wait(prospect) {
         let surplus = prospect.expected.saturating_sub(prospect.target / 2);
-        return Verdict::Refuse { retry_after: retry_after(surplus, draw) };
+        return AdmissionDecision::Refuse { retry_after: retry_after(surplus, draw) };
     }
     let late = prospect.elapsed + prospect.expected > prospect.target;
-    Verdict::Serve { priority: engine_priority(prospect.rank, late) }
+    AdmissionDecision::Serve { priority: engine_priority(prospect.rank, late) }
 }
 
 /// Returns the longest time to the first token that is of use. Work for a caller who leaves before it
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -8,7 +8,7 @@
 use assert_matches::assert_matches;
 use node_support::{class, server};
 use savoryport_core::Name;
-use savoryport_core::node::admission::{Prospect, Verdict, judge};
+use savoryport_core::node::admission::{AdmissionDecision, Prospect, judge};
 use savoryport_core::node::budget::{RetryBound, RetryBudget};
 use savoryport_core::node::health::{HealthBoard, ServerOutcome};
 use savoryport_core::node::leadership::Leadership;
@@ -222,10 +222,10 @@
         target: ms(800),
         left: ms(5_000),
     };
-    assert_matches!(judge(&prospect(200), 0.5), Verdict::Serve { priority: 6 });
-    assert_matches!(judge(&prospect(900), 0.5), Verdict::Serve { priority: 8 });
+    assert_matches!(judge(&prospect(200), 0.5), AdmissionDecision::Serve { priority: 6 });
+    assert_matches!(judge(&prospect(900), 0.5), AdmissionDecision::Serve { priority: 8 });
     let refused = judge(&prospect(9_000), 0.0);
-    assert_matches!(refused, Verdict::Refuse { retry_after } if retry_after >= ms(8_600));
+    assert_matches!(refused, AdmissionDecision::Refuse { retry_after } if retry_after >= ms(8_600));
 }
 
 /// Replays a flood: prompts of 240 ms each arrive twice as fast as one server reads them. Returns the
@@ -242,7 +242,7 @@
             target: ms(800),
             left: ms(5_000),
         };
-        if matches!(judge(&prospect, 0.5), Verdict::Serve { .. }) {
+        if matches!(judge(&prospect, 0.5), AdmissionDecision::Serve { .. }) {
             free_at = start + 240;
             served.push(free_at - arrival);
         }
@@ -267,9 +267,9 @@
         target: ms(1_500),
         left: ms(11_000),
     };
-    assert_matches!(judge(&prospect, 0.5), Verdict::Serve { .. });
+    assert_matches!(judge(&prospect, 0.5), AdmissionDecision::Serve { .. });
     let queued = Prospect { queued: ms(1_800), ..prospect };
-    assert_matches!(judge(&queued, 0.5), Verdict::Refuse { .. });
+    assert_matches!(judge(&queued, 0.5), AdmissionDecision::Refuse { .. });
 }
 
 #[test]
@@ -297,8 +297,8 @@
             left: ms(5_000),
         };
         match judge(&prospect, 0.0) {
-            Verdict::Serve { priority } => priority,
-            Verdict::Refuse { .. } => panic!("there is time"),
+            AdmissionDecision::Serve { priority } => priority,
+            AdmissionDecision::Refuse { .. } => panic!("there is time"),
         }
     };
     assert!(judged(0, 100) < judged(0, 1_000));
