--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -188,7 +188,7 @@
             left: self.left(),
         };
         let priority = match judge(&prospect, self.cx.draw()) {
-            AdmissionDecision::Serve { priority } => priority,
+            AdmissionDecision::Admit { priority } => priority,
             AdmissionDecision::Refuse { retry_after } => {
                 return Look::Overload { expected: choice.expected, retry_after };
             }
--- a/savoryport_core/src/node/admission.rs
+++ b/savoryport_core/src/node/admission.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AdmissionDecision {
     /// It is sent, with this priority for the engine; 0 goes first.
-    Serve {
+    Admit {
         /// The engine's priority.
         priority: u8,
     },
@@ -71,7 +71,7 @@
         return AdmissionDecision::Refuse { retry_after: retry_after(surplus, draw) };
     }
     let late = prospect.elapsed + prospect.expected > prospect.target;
-    AdmissionDecision::Serve { priority: engine_priority(prospect.rank, late) }
+    AdmissionDecision::Admit { priority: engine_priority(prospect.rank, late) }
 }
 
 /// Returns the longest time to the first token that is of use. Work for a caller who leaves before it
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -222,8 +222,8 @@
         target: ms(800),
         left: ms(5_000),
     };
-    assert_matches!(judge(&prospect(200), 0.5), AdmissionDecision::Serve { priority: 6 });
-    assert_matches!(judge(&prospect(900), 0.5), AdmissionDecision::Serve { priority: 8 });
+    assert_matches!(judge(&prospect(200), 0.5), AdmissionDecision::Admit { priority: 6 });
+    assert_matches!(judge(&prospect(900), 0.5), AdmissionDecision::Admit { priority: 8 });
     let refused = judge(&prospect(9_000), 0.0);
     assert_matches!(refused, AdmissionDecision::Refuse { retry_after } if retry_after >= ms(8_600));
 }
@@ -242,7 +242,7 @@
             target: ms(800),
             left: ms(5_000),
         };
-        if matches!(judge(&prospect, 0.5), AdmissionDecision::Serve { .. }) {
+        if matches!(judge(&prospect, 0.5), AdmissionDecision::Admit { .. }) {
             free_at = start + 240;
             served.push(free_at - arrival);
         }
@@ -267,7 +267,7 @@
         target: ms(1_500),
         left: ms(11_000),
     };
-    assert_matches!(judge(&prospect, 0.5), AdmissionDecision::Serve { .. });
+    assert_matches!(judge(&prospect, 0.5), AdmissionDecision::Admit { .. });
     let queued = Prospect { queued: ms(1_800), ..prospect };
     assert_matches!(judge(&queued, 0.5), AdmissionDecision::Refuse { .. });
 }
@@ -297,7 +297,7 @@
             left: ms(5_000),
         };
         match judge(&prospect, 0.0) {
-            AdmissionDecision::Serve { priority } => priority,
+            AdmissionDecision::Admit { priority } => priority,
             AdmissionDecision::Refuse { .. } => panic!("there is time"),
         }
     };
