--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use savoryport_core::Name;
-use savoryport_core::node::admission::{AdmissionDecision, Prospect, judge, retry_after};
+use savoryport_core::node::admission::{AdmissionDecision, AdmissionInput, judge, retry_after};
 use savoryport_core::node::deployment::EngineClass;
 use savoryport_core::node::placement::owner;
 use savoryport_core::node::registry::BackendServer;
@@ -179,7 +179,7 @@
         let Some(choice) = choose(options, &demanded, &selection) else { return Look::NoServer };
         // The bounds on waiting are for a first event; who has a part of a stream waits for the rest.
         let has_begun = self.first_token.is_some();
-        let prospect = Prospect {
+        let prospect = AdmissionInput {
             rank: self.route.rank,
             expected: choice.expected,
             elapsed: if has_begun { Duration::ZERO } else { now - self.arrived },
--- a/savoryport_core/src/node/admission.rs
+++ b/savoryport_core/src/node/admission.rs
@@ -49,7 +49,7 @@
 
 /// What is known of a request when it is judged.
 #[derive(Debug, Clone, Copy)]
-pub struct Prospect {
+pub struct AdmissionInput {
     /// The rank of work; 0 is the most urgent.
     pub rank: u8,
     /// The expected time to the first token from now.
@@ -65,7 +65,7 @@
 }
 
 /// Judges a request; `draw` is uniform in 0..1.
-pub fn judge(prospect: &Prospect, draw: f64) -> AdmissionDecision {
+pub fn judge(prospect: &AdmissionInput, draw: f64) -> AdmissionDecision {
     if prospect.expected > longest_wait(prospect) {
         let surplus = prospect.expected.saturating_sub(prospect.target / 2);
         return AdmissionDecision::Refuse { retry_after: retry_after(surplus, draw) };
@@ -76,7 +76,7 @@
 
 /// Returns the longest time to the first token that is of use. Work for a caller who leaves before it
 /// only delays the others, and so does a longer queue: it serves as many, all of them late.
-fn longest_wait(prospect: &Prospect) -> Duration {
+fn longest_wait(prospect: &AdmissionInput) -> Duration {
     let patience = (prospect.target * ABANDON_FACTOR).max(MIN_ABANDON).mul_f64(PATIENCE_SHARE);
     let queue = prospect.target.mul_f64(QUEUE_SHARE).saturating_sub(prospect.queued);
     let in_time = prospect.left.mul_f64(FIRST_TOKEN_SHARE);
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -8,7 +8,7 @@
 use assert_matches::assert_matches;
 use node_support::{class, server};
 use savoryport_core::Name;
-use savoryport_core::node::admission::{AdmissionDecision, Prospect, judge};
+use savoryport_core::node::admission::{AdmissionDecision, AdmissionInput, judge};
 use savoryport_core::node::budget::{RetryBound, RetryBudget};
 use savoryport_core::node::health::{HealthBoard, ServerOutcome};
 use savoryport_core::node::leadership::Leadership;
@@ -214,7 +214,7 @@
 
 #[test]
 fn a_flood_is_refused_at_once_where_its_first_token_cannot_come() {
-    let prospect = |expected| Prospect {
+    let prospect = |expected| AdmissionInput {
         rank: 2,
         expected: ms(expected),
         elapsed: Duration::ZERO,
@@ -234,7 +234,7 @@
     let (mut free_at, mut served) = (0, Vec::new());
     for arrival in (0..6_000).step_by(120) {
         let start = arrival.max(free_at);
-        let prospect = Prospect {
+        let prospect = AdmissionInput {
             rank: 0,
             expected: ms(start + 240 - arrival),
             elapsed: Duration::ZERO,
@@ -259,7 +259,7 @@
 
 #[test]
 fn who_waited_for_a_model_is_not_refused_for_that_wait() {
-    let prospect = Prospect {
+    let prospect = AdmissionInput {
         rank: 1,
         expected: ms(300),
         elapsed: ms(4_000),
@@ -268,13 +268,13 @@
         left: ms(11_000),
     };
     assert_matches!(judge(&prospect, 0.5), AdmissionDecision::Admit { .. });
-    let queued = Prospect { queued: ms(1_800), ..prospect };
+    let queued = AdmissionInput { queued: ms(1_800), ..prospect };
     assert_matches!(judge(&queued, 0.5), AdmissionDecision::Refuse { .. });
 }
 
 #[test]
 fn refused_callers_do_not_come_back_in_step() {
-    let prospect = Prospect {
+    let prospect = AdmissionInput {
         rank: 0,
         expected: ms(9_000),
         elapsed: Duration::ZERO,
@@ -288,7 +288,7 @@
 #[test]
 fn late_work_of_a_rank_goes_behind_work_that_can_be_on_time_but_before_the_next_rank() {
     let judged = |rank, expected| {
-        let prospect = Prospect {
+        let prospect = AdmissionInput {
             rank,
             expected: ms(expected),
             elapsed: Duration::ZERO,
