--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use savoryport_core::Name;
-use savoryport_core::node::admission::{AdmissionDecision, AdmissionInput, judge, retry_after};
+use savoryport_core::node::admission::{
+    AdmissionDecision, AdmissionInput, decide_admission, retry_after,
+};
 use savoryport_core::node::deployment::EngineClass;
 use savoryport_core::node::placement::owner;
 use savoryport_core::node::registry::BackendServer;
@@ -187,7 +189,7 @@
             target: self.route.target_latency,
             left: self.left(),
         };
-        let priority = match judge(&prospect, self.cx.draw()) {
+        let priority = match decide_admission(&prospect, self.cx.draw()) {
             AdmissionDecision::Admit { priority } => priority,
             AdmissionDecision::Refuse { retry_after } => {
                 return Look::Overload { expected: choice.expected, retry_after };
--- a/savoryport_core/src/node/admission.rs
+++ b/savoryport_core/src/node/admission.rs
@@ -65,7 +65,7 @@
 }
 
 /// Judges a request; `draw` is uniform in 0..1.
-pub fn judge(prospect: &AdmissionInput, draw: f64) -> AdmissionDecision {
+pub fn decide_admission(prospect: &AdmissionInput, draw: f64) -> AdmissionDecision {
     if prospect.expected > longest_wait(prospect) {
         let surplus = prospect.expected.saturating_sub(prospect.target / 2);
         return AdmissionDecision::Refuse { retry_after: retry_after(surplus, draw) };
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -8,7 +8,7 @@
 use assert_matches::assert_matches;
 use node_support::{class, server};
 use savoryport_core::Name;
-use savoryport_core::node::admission::{AdmissionDecision, AdmissionInput, judge};
+use savoryport_core::node::admission::{AdmissionDecision, AdmissionInput, decide_admission};
 use savoryport_core::node::budget::{RetryBound, RetryBudget};
 use savoryport_core::node::health::{HealthBoard, ServerOutcome};
 use savoryport_core::node::leadership::Leadership;
@@ -222,9 +222,15 @@
         target: ms(800),
         left: ms(5_000),
     };
-    assert_matches!(judge(&prospect(200), 0.5), AdmissionDecision::Admit { priority: 6 });
-    assert_matches!(judge(&prospect(900), 0.5), AdmissionDecision::Admit { priority: 8 });
-    let refused = judge(&prospect(9_000), 0.0);
+    assert_matches!(
+        decide_admission(&prospect(200), 0.5),
+        AdmissionDecision::Admit { priority: 6 }
+    );
+    assert_matches!(
+        decide_admission(&prospect(900), 0.5),
+        AdmissionDecision::Admit { priority: 8 }
+    );
+    let refused = decide_admission(&prospect(9_000), 0.0);
     assert_matches!(refused, AdmissionDecision::Refuse { retry_after } if retry_after >= ms(8_600));
 }
 
@@ -242,7 +248,7 @@
             target: ms(800),
             left: ms(5_000),
         };
-        if matches!(judge(&prospect, 0.5), AdmissionDecision::Admit { .. }) {
+        if matches!(decide_admission(&prospect, 0.5), AdmissionDecision::Admit { .. }) {
             free_at = start + 240;
             served.push(free_at - arrival);
         }
@@ -267,9 +273,9 @@
         target: ms(1_500),
         left: ms(11_000),
     };
-    assert_matches!(judge(&prospect, 0.5), AdmissionDecision::Admit { .. });
+    assert_matches!(decide_admission(&prospect, 0.5), AdmissionDecision::Admit { .. });
     let queued = AdmissionInput { queued: ms(1_800), ..prospect };
-    assert_matches!(judge(&queued, 0.5), AdmissionDecision::Refuse { .. });
+    assert_matches!(decide_admission(&queued, 0.5), AdmissionDecision::Refuse { .. });
 }
 
 #[test]
@@ -282,7 +288,7 @@
         target: ms(800),
         left: ms(5_000),
     };
-    assert!(judge(&prospect, 0.1) != judge(&prospect, 0.9));
+    assert!(decide_admission(&prospect, 0.1) != decide_admission(&prospect, 0.9));
 }
 
 #[test]
@@ -296,7 +302,7 @@
             target: ms(800),
             left: ms(5_000),
         };
-        match judge(&prospect, 0.0) {
+        match decide_admission(&prospect, 0.0) {
             AdmissionDecision::Admit { priority } => priority,
             AdmissionDecision::Refuse { .. } => panic!("there is time"),
         }
