--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -186,7 +186,7 @@
             expected: choice.expected,
             elapsed: if has_begun { Duration::ZERO } else { now - self.arrived },
             queued: if has_begun { Duration::ZERO } else { now - self.queued_since },
-            target: self.route.target_latency,
+            target_latency: self.route.target_latency,
             left: self.left(),
         };
         let priority = match decide_admission(&prospect, self.cx.draw()) {
--- a/savoryport_core/src/node/admission.rs
+++ b/savoryport_core/src/node/admission.rs
@@ -59,7 +59,7 @@
     /// The part of that time in which servers could have taken it.
     pub queued: Duration,
     /// The time from arrival to the first token that callers expect.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// The time until the caller leaves or the route's time is up.
     pub left: Duration,
 }
@@ -67,18 +67,19 @@
 /// Judges a request; `draw` is uniform in 0..1.
 pub fn decide_admission(prospect: &AdmissionInput, draw: f64) -> AdmissionDecision {
     if prospect.expected > longest_wait(prospect) {
-        let surplus = prospect.expected.saturating_sub(prospect.target / 2);
+        let surplus = prospect.expected.saturating_sub(prospect.target_latency / 2);
         return AdmissionDecision::Refuse { retry_after: retry_after(surplus, draw) };
     }
-    let late = prospect.elapsed + prospect.expected > prospect.target;
+    let late = prospect.elapsed + prospect.expected > prospect.target_latency;
     AdmissionDecision::Admit { priority: engine_priority(prospect.rank, late) }
 }
 
 /// Returns the longest time to the first token that is of use. Work for a caller who leaves before it
 /// only delays the others, and so does a longer queue: it serves as many, all of them late.
 fn longest_wait(prospect: &AdmissionInput) -> Duration {
-    let patience = (prospect.target * ABANDON_FACTOR).max(MIN_ABANDON).mul_f64(PATIENCE_SHARE);
-    let queue = prospect.target.mul_f64(QUEUE_SHARE).saturating_sub(prospect.queued);
+    let patience =
+        (prospect.target_latency * ABANDON_FACTOR).max(MIN_ABANDON).mul_f64(PATIENCE_SHARE);
+    let queue = prospect.target_latency.mul_f64(QUEUE_SHARE).saturating_sub(prospect.queued);
     let in_time = prospect.left.mul_f64(FIRST_TOKEN_SHARE);
     in_time.min(patience.saturating_sub(prospect.elapsed)).min(queue)
 }
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -219,7 +219,7 @@
         expected: ms(expected),
         elapsed: Duration::ZERO,
         queued: Duration::ZERO,
-        target: ms(800),
+        target_latency: ms(800),
         left: ms(5_000),
     };
     assert_matches!(
@@ -245,7 +245,7 @@
             expected: ms(start + 240 - arrival),
             elapsed: Duration::ZERO,
             queued: Duration::ZERO,
-            target: ms(800),
+            target_latency: ms(800),
             left: ms(5_000),
         };
         if matches!(decide_admission(&prospect, 0.5), AdmissionDecision::Admit { .. }) {
@@ -270,7 +270,7 @@
         expected: ms(300),
         elapsed: ms(4_000),
         queued: Duration::ZERO,
-        target: ms(1_500),
+        target_latency: ms(1_500),
         left: ms(11_000),
     };
     assert_matches!(decide_admission(&prospect, 0.5), AdmissionDecision::Admit { .. });
@@ -285,7 +285,7 @@
         expected: ms(9_000),
         elapsed: Duration::ZERO,
         queued: Duration::ZERO,
-        target: ms(800),
+        target_latency: ms(800),
         left: ms(5_000),
     };
     assert!(decide_admission(&prospect, 0.1) != decide_admission(&prospect, 0.9));
@@ -299,7 +299,7 @@
             expected: ms(expected),
             elapsed: Duration::ZERO,
             queued: Duration::ZERO,
-            target: ms(800),
+            target_latency: ms(800),
             left: ms(5_000),
         };
         match decide_admission(&prospect, 0.0) {
