--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -187,7 +187,7 @@
             elapsed: if has_begun { Duration::ZERO } else { now - self.arrived },
             queued: if has_begun { Duration::ZERO } else { now - self.queued_since },
             target_latency: self.route.target_latency,
-            left: self.left(),
+            time_left: self.left(),
         };
         let priority = match decide_admission(&prospect, self.cx.draw()) {
             AdmissionDecision::Admit { priority } => priority,
--- a/savoryport_core/src/node/admission.rs
+++ b/savoryport_core/src/node/admission.rs
@@ -61,7 +61,7 @@
     /// The time from arrival to the first token that callers expect.
     pub target_latency: Duration,
     /// The time until the caller leaves or the route's time is up.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// Judges a request; `draw` is uniform in 0..1.
@@ -80,7 +80,7 @@
     let patience =
         (prospect.target_latency * ABANDON_FACTOR).max(MIN_ABANDON).mul_f64(PATIENCE_SHARE);
     let queue = prospect.target_latency.mul_f64(QUEUE_SHARE).saturating_sub(prospect.queued);
-    let in_time = prospect.left.mul_f64(FIRST_TOKEN_SHARE);
+    let in_time = prospect.time_left.mul_f64(FIRST_TOKEN_SHARE);
     in_time.min(patience.saturating_sub(prospect.elapsed)).min(queue)
 }
 
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -220,7 +220,7 @@
         elapsed: Duration::ZERO,
         queued: Duration::ZERO,
         target_latency: ms(800),
-        left: ms(5_000),
+        time_left: ms(5_000),
     };
     assert_matches!(
         decide_admission(&prospect(200), 0.5),
@@ -246,7 +246,7 @@
             elapsed: Duration::ZERO,
             queued: Duration::ZERO,
             target_latency: ms(800),
-            left: ms(5_000),
+            time_left: ms(5_000),
         };
         if matches!(decide_admission(&prospect, 0.5), AdmissionDecision::Admit { .. }) {
             free_at = start + 240;
@@ -271,7 +271,7 @@
         elapsed: ms(4_000),
         queued: Duration::ZERO,
         target_latency: ms(1_500),
-        left: ms(11_000),
+        time_left: ms(11_000),
     };
     assert_matches!(decide_admission(&prospect, 0.5), AdmissionDecision::Admit { .. });
     let queued = AdmissionInput { queued: ms(1_800), ..prospect };
@@ -286,7 +286,7 @@
         elapsed: Duration::ZERO,
         queued: Duration::ZERO,
         target_latency: ms(800),
-        left: ms(5_000),
+        time_left: ms(5_000),
     };
     assert!(decide_admission(&prospect, 0.1) != decide_admission(&prospect, 0.9));
 }
@@ -300,7 +300,7 @@
             elapsed: Duration::ZERO,
             queued: Duration::ZERO,
             target_latency: ms(800),
-            left: ms(5_000),
+            time_left: ms(5_000),
         };
         match decide_admission(&prospect, 0.0) {
             AdmissionDecision::Admit { priority } => priority,
