--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -185,7 +185,7 @@
             rank: self.route.rank,
             expected: choice.expected,
             elapsed: if has_begun { Duration::ZERO } else { now - self.arrived },
-            queued: if has_begun { Duration::ZERO } else { now - self.queued_since },
+            queue_time: if has_begun { Duration::ZERO } else { now - self.queued_since },
             target_latency: self.route.target_latency,
             time_left: self.left(),
         };
--- a/savoryport_core/src/node/admission.rs
+++ b/savoryport_core/src/node/admission.rs
@@ -57,7 +57,7 @@
     /// Time that the caller has waited for a first event.
     pub elapsed: Duration,
     /// The part of that time in which servers could have taken it.
-    pub queued: Duration,
+    pub queue_time: Duration,
     /// The time from arrival to the first token that callers expect.
     pub target_latency: Duration,
     /// The time until the caller leaves or the route's time is up.
@@ -79,7 +79,7 @@
 fn longest_wait(prospect: &AdmissionInput) -> Duration {
     let patience =
         (prospect.target_latency * ABANDON_FACTOR).max(MIN_ABANDON).mul_f64(PATIENCE_SHARE);
-    let queue = prospect.target_latency.mul_f64(QUEUE_SHARE).saturating_sub(prospect.queued);
+    let queue = prospect.target_latency.mul_f64(QUEUE_SHARE).saturating_sub(prospect.queue_time);
     let in_time = prospect.time_left.mul_f64(FIRST_TOKEN_SHARE);
     in_time.min(patience.saturating_sub(prospect.elapsed)).min(queue)
 }
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -218,7 +218,7 @@
         rank: 2,
         expected: ms(expected),
         elapsed: Duration::ZERO,
-        queued: Duration::ZERO,
+        queue_time: Duration::ZERO,
         target_latency: ms(800),
         time_left: ms(5_000),
     };
@@ -244,7 +244,7 @@
             rank: 0,
             expected: ms(start + 240 - arrival),
             elapsed: Duration::ZERO,
-            queued: Duration::ZERO,
+            queue_time: Duration::ZERO,
             target_latency: ms(800),
             time_left: ms(5_000),
         };
@@ -269,12 +269,12 @@
         rank: 1,
         expected: ms(300),
         elapsed: ms(4_000),
-        queued: Duration::ZERO,
+        queue_time: Duration::ZERO,
         target_latency: ms(1_500),
         time_left: ms(11_000),
     };
     assert_matches!(decide_admission(&prospect, 0.5), AdmissionDecision::Admit { .. });
-    let queued = AdmissionInput { queued: ms(1_800), ..prospect };
+    let queued = AdmissionInput { queue_time: ms(1_800), ..prospect };
     assert_matches!(decide_admission(&queued, 0.5), AdmissionDecision::Refuse { .. });
 }
 
@@ -284,7 +284,7 @@
         rank: 0,
         expected: ms(9_000),
         elapsed: Duration::ZERO,
-        queued: Duration::ZERO,
+        queue_time: Duration::ZERO,
         target_latency: ms(800),
         time_left: ms(5_000),
     };
@@ -298,7 +298,7 @@
             rank,
             expected: ms(expected),
             elapsed: Duration::ZERO,
-            queued: Duration::ZERO,
+            queue_time: Duration::ZERO,
             target_latency: ms(800),
             time_left: ms(5_000),
         };
