--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -183,7 +183,7 @@
         let has_begun = self.first_token.is_some();
         let prospect = AdmissionInput {
             rank: self.route.rank,
-            expected: choice.expected,
+            expected_latency: choice.expected,
             elapsed: if has_begun { Duration::ZERO } else { now - self.arrived },
             queue_time: if has_begun { Duration::ZERO } else { now - self.queued_since },
             target_latency: self.route.target_latency,
--- a/savoryport_core/src/node/admission.rs
+++ b/savoryport_core/src/node/admission.rs
@@ -53,7 +53,7 @@
     /// The rank of work; 0 is the most urgent.
     pub rank: u8,
     /// The expected time to the first token from now.
-    pub expected: Duration,
+    pub expected_latency: Duration,
     /// Time that the caller has waited for a first event.
     pub elapsed: Duration,
     /// The part of that time in which servers could have taken it.
@@ -66,11 +66,11 @@
 
 /// Judges a request; `draw` is uniform in 0..1.
 pub fn decide_admission(prospect: &AdmissionInput, draw: f64) -> AdmissionDecision {
-    if prospect.expected > longest_wait(prospect) {
-        let surplus = prospect.expected.saturating_sub(prospect.target_latency / 2);
+    if prospect.expected_latency > longest_wait(prospect) {
+        let surplus = prospect.expected_latency.saturating_sub(prospect.target_latency / 2);
         return AdmissionDecision::Refuse { retry_after: retry_after(surplus, draw) };
     }
-    let late = prospect.elapsed + prospect.expected > prospect.target_latency;
+    let late = prospect.elapsed + prospect.expected_latency > prospect.target_latency;
     AdmissionDecision::Admit { priority: engine_priority(prospect.rank, late) }
 }
 
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -216,7 +216,7 @@
 fn a_flood_is_refused_at_once_where_its_first_token_cannot_come() {
     let prospect = |expected| AdmissionInput {
         rank: 2,
-        expected: ms(expected),
+        expected_latency: ms(expected),
         elapsed: Duration::ZERO,
         queue_time: Duration::ZERO,
         target_latency: ms(800),
@@ -242,7 +242,7 @@
         let start = arrival.max(free_at);
         let prospect = AdmissionInput {
             rank: 0,
-            expected: ms(start + 240 - arrival),
+            expected_latency: ms(start + 240 - arrival),
             elapsed: Duration::ZERO,
             queue_time: Duration::ZERO,
             target_latency: ms(800),
@@ -267,7 +267,7 @@
 fn who_waited_for_a_model_is_not_refused_for_that_wait() {
     let prospect = AdmissionInput {
         rank: 1,
-        expected: ms(300),
+        expected_latency: ms(300),
         elapsed: ms(4_000),
         queue_time: Duration::ZERO,
         target_latency: ms(1_500),
@@ -282,7 +282,7 @@
 fn refused_callers_do_not_come_back_in_step() {
     let prospect = AdmissionInput {
         rank: 0,
-        expected: ms(9_000),
+        expected_latency: ms(9_000),
         elapsed: Duration::ZERO,
         queue_time: Duration::ZERO,
         target_latency: ms(800),
@@ -296,7 +296,7 @@
     let judged = |rank, expected| {
         let prospect = AdmissionInput {
             rank,
-            expected: ms(expected),
+            expected_latency: ms(expected),
             elapsed: Duration::ZERO,
             queue_time: Duration::ZERO,
             target_latency: ms(800),
