--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -183,7 +183,7 @@
         let has_begun = self.first_token.is_some();
         let prospect = AdmissionInput {
             rank: self.route.rank,
-            expected_latency: choice.expected,
+            expected_latency: choice.expected_latency,
             elapsed: if has_begun { Duration::ZERO } else { now - self.arrived },
             queue_time: if has_begun { Duration::ZERO } else { now - self.queued_since },
             target_latency: self.route.target_latency,
@@ -192,7 +192,7 @@
         let priority = match decide_admission(&prospect, self.cx.draw()) {
             AdmissionDecision::Admit { priority } => priority,
             AdmissionDecision::Refuse { retry_after } => {
-                return Look::Overload { expected: choice.expected, retry_after };
+                return Look::Overload { expected: choice.expected_latency, retry_after };
             }
         };
         let chosen = candidates
@@ -205,7 +205,7 @@
             priority: self.head.generation.as_ref().map(|_| priority),
             prefill_ms: choice.prefill_ms,
             copy_from: choice.copy_from.map(|source| source.address),
-            expected: choice.expected,
+            expected: choice.expected_latency,
         };
         Look::Picked(picked, choice.candidate.adapter_orders > 0)
     }
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -179,7 +179,7 @@
     /// The server from which the candidate copies the beginning of the prompt first.
     pub copy_from: Option<&'a BackendServer>,
     /// The expected time to the first token, or to the answer.
-    pub expected: Duration,
+    pub expected_latency: Duration,
     /// Expected time with the costs of distance, by which candidates are compared.
     pub cost_ms: f64,
 }
@@ -242,7 +242,7 @@
         candidate,
         prefill_ms: (own_ms * slowness) as f32,
         copy_from,
-        expected: Duration::from_secs_f64(total_ms / 1e3),
+        expected_latency: Duration::from_secs_f64(total_ms / 1e3),
         cost_ms: total_ms + failures_ms,
     }
 }
