--- a/savoryport/src/node/boards.rs
+++ b/savoryport/src/node/boards.rs
@@ -5,10 +5,10 @@
 use std::time::Instant;
 
 use savoryport_core::Name;
-use savoryport_core::node::budget::{RetryBound, RetryBudget};
 use savoryport_core::node::health::HealthBoard;
 use savoryport_core::node::load::LoadBoard;
 use savoryport_core::node::prefix::PrefixMap;
+use savoryport_core::node::retry_budget::{RetryBound, RetryBudget};
 use savoryport_core::node::selection::{SelectionContext, SelectionCosts, Speeds};
 
 use super::rpc::{CopyUse, PromptRecord};
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -42,7 +42,7 @@
 use rand::rngs::SmallRng;
 use savoryport_adapter::store::Store;
 use savoryport_core::clock::SystemClock;
-use savoryport_core::node::budget::RetryBound;
+use savoryport_core::node::retry_budget::RetryBound;
 use savoryport_platform::connection::Pool;
 use thiserror::Error;
 use tokio::sync::watch;
--- a/savoryport_core/src/node/mod.rs
+++ b/savoryport_core/src/node/mod.rs
@@ -4,7 +4,6 @@
 //! carries the decisions out.
 
 pub mod admission;
-pub mod budget;
 pub mod deployment;
 pub mod health;
 pub mod leadership;
@@ -14,4 +13,5 @@
 pub mod prefix;
 pub mod registry;
 pub mod request;
+pub mod retry_budget;
 pub mod selection;
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -9,7 +9,6 @@
 use node_support::{class, server};
 use savoryport_core::Name;
 use savoryport_core::node::admission::{AdmissionDecision, AdmissionInput, decide_admission};
-use savoryport_core::node::budget::{RetryBound, RetryBudget};
 use savoryport_core::node::health::{HealthBoard, ServerOutcome};
 use savoryport_core::node::leadership::Leadership;
 use savoryport_core::node::load::{LoadBoard, ServerLoad};
@@ -20,6 +19,7 @@
 use savoryport_core::node::prefix::PrefixMap;
 use savoryport_core::node::registry::{BackendServer, Registry};
 use savoryport_core::node::request::{Generation, PromptPart};
+use savoryport_core::node::retry_budget::{RetryBound, RetryBudget};
 use savoryport_core::node::selection::{
     Candidate, Demanded, Distance, SelectionContext, SelectionCosts, Speeds, choose,
 };
