--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -148,7 +148,7 @@
         let sent = self.tried.len() as u32;
         let mut boards = self.cx.boards.lock();
         if sent == 0 {
-            boards.budget.earn(&self.service);
+            boards.budget.on_request(&self.service);
             return true;
         }
         sent < self.route.max_attempts && boards.budget.take(&self.service)
--- a/savoryport_core/src/node/retry_budget.rs
+++ b/savoryport_core/src/node/retry_budget.rs
@@ -40,7 +40,7 @@
     }
 
     /// Notes the first send of a request.
-    pub fn earn(&mut self, service: &Name) {
+    pub fn on_request(&mut self, service: &Name) {
         let (cap, ratio) = (self.cap(), self.bound.ratio * Self::USED_SHARE);
         let left = self.left.entry(service.clone()).or_insert(cap);
         *left = (*left + ratio).min(cap);
