--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -151,7 +151,7 @@
             boards.budget.on_request(&self.service);
             return true;
         }
-        sent < self.route.max_attempts && boards.budget.take(&self.service)
+        sent < self.route.max_attempts && boards.budget.try_take(&self.service)
     }
 
     fn obstacle_to_retry(&self) -> Option<Cause> {
--- a/savoryport_core/src/node/retry_budget.rs
+++ b/savoryport_core/src/node/retry_budget.rs
@@ -47,7 +47,7 @@
     }
 
     /// Takes one repeat from the budget; returns whether there was one.
-    pub fn take(&mut self, service: &Name) -> bool {
+    pub fn try_take(&mut self, service: &Name) -> bool {
         let cap = self.cap();
         let left = self.left.entry(service.clone()).or_insert(cap);
         let may = *left >= 1.0;
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -325,7 +325,7 @@
             for _ in 0..40 {
                 requests += 1.0;
                 budget.on_request(&service);
-                while budget.take(&service) {
+                while budget.try_take(&service) {
                     repeats += 1.0;
                 }
             }
