--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -154,7 +154,7 @@
     /// Returns whether another server would take the request now. Without one, leaving a server that is
     /// slow or silent only ends the request.
     pub(super) fn has_alternative(&self) -> bool {
-        let has_repeat = self.cx.boards.lock().budget.has_repeat(&self.service);
+        let has_repeat = self.cx.boards.lock().budget.can_retry(&self.service);
         has_repeat && matches!(self.look(&[]), Look::Picked(..))
     }
 
--- a/savoryport_core/src/node/retry_budget.rs
+++ b/savoryport_core/src/node/retry_budget.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns whether a repeat could be taken now.
-    pub fn has_repeat(&self, service: &str) -> bool {
+    pub fn can_retry(&self, service: &str) -> bool {
         self.left.get(service).copied().unwrap_or(self.cap()) >= 1.0
     }
 
