--- a/savoryport/src/node/boards.rs
+++ b/savoryport/src/node/boards.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use savoryport_core::Name;
-use savoryport_core::node::health::HealthBoard;
+use savoryport_core::node::health::HealthTracker;
 use savoryport_core::node::load::LoadBoard;
 use savoryport_core::node::prefix::PrefixMap;
 use savoryport_core::node::retry_budget::{RetryBound, RetryBudget};
@@ -27,7 +27,7 @@
     /// Which prefixes are cached where.
     pub prefixes: PrefixMap,
     /// How far servers are trusted.
-    pub health: HealthBoard,
+    pub health: HealthTracker,
     /// How fast models and servers are.
     pub speeds: Speeds,
     /// Repeats that are left.
@@ -51,7 +51,7 @@
         Self(Mutex::new(Boards {
             loads: LoadBoard::default(),
             prefixes: PrefixMap::default(),
-            health: HealthBoard::default(),
+            health: HealthTracker::default(),
             speeds: Speeds::default(),
             budget: RetryBudget::new(bound, nodes),
             copies: HashMap::new(),
--- a/savoryport_core/src/node/health.rs
+++ b/savoryport_core/src/node/health.rs
@@ -36,7 +36,7 @@
 
 /// Failure rates and pauses by server.
 #[derive(Debug, Clone, Default)]
-pub struct HealthBoard {
+pub struct HealthTracker {
     servers: HashMap<Name, Health>,
     /// Models that servers denied to hold, with the incarnation that was believed to be there.
     denials: HashMap<(Name, Name), (u64, Instant)>,
@@ -52,7 +52,7 @@
     full: Option<(Instant, u8)>,
 }
 
-impl HealthBoard {
+impl HealthTracker {
     /// Takes the outcome of a request.
     pub fn note(&mut self, server: &Name, outcome: ServerOutcome, now: Instant) {
         let health = self.servers.entry(server.clone()).or_default();
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use crate::Name;
-use crate::node::health::HealthBoard;
+use crate::node::health::HealthTracker;
 use crate::node::load::LoadBoard;
 use crate::node::prefix::PrefixMap;
 use crate::node::registry::BackendServer;
@@ -134,7 +134,7 @@
     /// Which prefixes are cached where.
     pub prefixes: &'a PrefixMap,
     /// How far each server is trusted.
-    pub health: &'a HealthBoard,
+    pub health: &'a HealthTracker,
     /// How fast models and servers are.
     pub speeds: &'a Speeds,
     /// What distance costs.
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -9,7 +9,7 @@
 use node_support::{class, server};
 use savoryport_core::Name;
 use savoryport_core::node::admission::{AdmissionDecision, AdmissionInput, decide_admission};
-use savoryport_core::node::health::{HealthBoard, ServerOutcome};
+use savoryport_core::node::health::{HealthTracker, ServerOutcome};
 use savoryport_core::node::leadership::Leadership;
 use savoryport_core::node::load::{LoadBoard, ServerLoad};
 use savoryport_core::node::placement::{
@@ -45,7 +45,7 @@
 struct Desk {
     loads: LoadBoard,
     prefixes: PrefixMap,
-    health: HealthBoard,
+    health: HealthTracker,
     speeds: Speeds,
     copy_ms_per_token: Option<f64>,
 }
@@ -189,7 +189,7 @@
 
 #[test]
 fn an_unreachable_server_is_left_alone_for_a_while_and_tried_again() {
-    let (mut health, now) = (HealthBoard::default(), Instant::now());
+    let (mut health, now) = (HealthTracker::default(), Instant::now());
     health.note(&"a".into(), ServerOutcome::Unreachable, now);
     assert!(health.is_paused("a", now + ms(200)));
     assert!(!health.is_paused("a", now + ms(300)));
