--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -390,7 +390,7 @@
 
     pub(super) fn note(&self, server: &Name, outcome: ServerOutcome) {
         let now = self.cx.now();
-        self.cx.boards.lock().health.note(server, outcome, now);
+        self.cx.boards.lock().health.record_outcome(server, outcome, now);
     }
 }
 
--- a/savoryport_core/src/node/health.rs
+++ b/savoryport_core/src/node/health.rs
@@ -54,7 +54,7 @@
 
 impl HealthTracker {
     /// Takes the outcome of a request.
-    pub fn note(&mut self, server: &Name, outcome: ServerOutcome, now: Instant) {
+    pub fn record_outcome(&mut self, server: &Name, outcome: ServerOutcome, now: Instant) {
         let health = self.servers.entry(server.clone()).or_default();
         let failed = if outcome == ServerOutcome::Answered { 0.0 } else { 1.0 };
         health.failure_rate += (failed - health.failure_rate) * NEWEST_WEIGHT;
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -181,7 +181,7 @@
     let (mut desk, now) = (Desk::default(), Instant::now());
     for failed in [true, false, true, false, true] {
         let outcome = if failed { ServerOutcome::Failed } else { ServerOutcome::Answered };
-        desk.health.note(&a.id, outcome, now);
+        desk.health.record_outcome(&a.id, outcome, now);
     }
     desk.loads.begin(&b.id, 0, 300.0);
     assert_eq!(&*desk.choose(&[near(&a), near(&b)], &draft("m"), now), "b");
@@ -190,11 +190,11 @@
 #[test]
 fn an_unreachable_server_is_left_alone_for_a_while_and_tried_again() {
     let (mut health, now) = (HealthTracker::default(), Instant::now());
-    health.note(&"a".into(), ServerOutcome::Unreachable, now);
+    health.record_outcome(&"a".into(), ServerOutcome::Unreachable, now);
     assert!(health.is_paused("a", now + ms(200)));
     assert!(!health.is_paused("a", now + ms(300)));
     for _ in 0..10 {
-        health.note(&"a".into(), ServerOutcome::Unreachable, now);
+        health.record_outcome(&"a".into(), ServerOutcome::Unreachable, now);
     }
     assert!(health.is_paused("a", now + ms(1_900)));
     assert!(!health.is_paused("a", now + ms(2_100)));
