--- a/savoryport/src/node/verdict.rs
+++ b/savoryport/src/node/verdict.rs
@@ -66,7 +66,7 @@
                 boards.health.note_denial(&server.id, copy, server.incarnation, now);
             }
             (StatusCode::SERVICE_UNAVAILABLE, _) => {
-                boards.health.note_full(&server.id, self.route.rank, now);
+                boards.health.record_full(&server.id, self.route.rank, now);
             }
             _ => {}
         }
--- a/savoryport_core/src/node/health.rs
+++ b/savoryport_core/src/node/health.rs
@@ -69,7 +69,7 @@
     }
 
     /// Notes that the server refused a request of this rank for want of room.
-    pub fn note_full(&mut self, server: &Name, rank: u8, now: Instant) {
+    pub fn record_full(&mut self, server: &Name, rank: u8, now: Instant) {
         let health = self.servers.entry(server.clone()).or_default();
         let most_urgent = match health.full {
             Some((until, refused)) if now < until => refused.min(rank),
