--- a/savoryport/src/node/verdict.rs
+++ b/savoryport/src/node/verdict.rs
@@ -63,7 +63,7 @@
         let mut boards = self.cx.boards.lock();
         match (status, self.copy_name()) {
             (StatusCode::MISDIRECTED_REQUEST, Some(copy)) => {
-                boards.health.note_denial(&server.id, copy, server.incarnation, now);
+                boards.health.record_not_resident(&server.id, copy, server.incarnation, now);
             }
             (StatusCode::SERVICE_UNAVAILABLE, _) => {
                 boards.health.record_full(&server.id, self.route.rank, now);
--- a/savoryport_core/src/node/health.rs
+++ b/savoryport_core/src/node/health.rs
@@ -86,7 +86,13 @@
 
     /// Notes that the server said that it does not hold a model or an adapter: it may have started anew,
     /// which the registry tells only with its next heartbeat.
-    pub fn note_denial(&mut self, server: &Name, copy: Name, incarnation: u64, now: Instant) {
+    pub fn record_not_resident(
+        &mut self,
+        server: &Name,
+        copy: Name,
+        incarnation: u64,
+        now: Instant,
+    ) {
         self.denials.retain(|_, (_, until)| now < *until);
         self.denials.insert((server.clone(), copy), (incarnation, now + DENIAL_LIFETIME));
     }
