--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -224,8 +224,9 @@
         let boards = self.cx.boards.lock();
         let (own, health) = (boards.loads.own(), &boards.health);
         let is_denied = |server: &BackendServer| {
-            copy.as_ref()
-                .is_some_and(|copy| health.is_denied(&server.id, copy, server.incarnation, now))
+            copy.as_ref().is_some_and(|copy| {
+                health.is_not_resident(&server.id, copy, server.incarnation, now)
+            })
         };
         self.ready(view)
             .filter(|server| !self.tried.contains(&server.id) && !self.avoided.contains(&server.id))
--- a/savoryport_core/src/node/health.rs
+++ b/savoryport_core/src/node/health.rs
@@ -98,7 +98,13 @@
     }
 
     /// Returns whether the server denied to hold the model or adapter and nothing newer is known.
-    pub fn is_denied(&self, server: &Name, copy: &Name, incarnation: u64, now: Instant) -> bool {
+    pub fn is_not_resident(
+        &self,
+        server: &Name,
+        copy: &Name,
+        incarnation: u64,
+        now: Instant,
+    ) -> bool {
         let denial = self.denials.get(&(server.clone(), copy.clone()));
         denial.is_some_and(|(denied, until)| *denied == incarnation && now < *until)
     }
