--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -264,7 +264,7 @@
                 let (parts, body) = answer.into_parts();
                 let kind = answer_kind(parts.status, &parts.headers, &self.head.id);
                 let (status, headers) = (parts.status, parts.headers);
-                self.cx.boards.lock().health.heard(&server.id, self.cx.now());
+                self.cx.boards.lock().health.record_activity(&server.id, self.cx.now());
                 let first = match first {
                     First::Data(data) => Some(data),
                     First::None | First::Broken => None,
@@ -384,7 +384,7 @@
     /// Notes that the last server sent something.
     pub(super) fn note_heard(&self) {
         if let Some(server) = &self.last_server {
-            self.cx.boards.lock().health.heard(server, self.cx.now());
+            self.cx.boards.lock().health.record_activity(server, self.cx.now());
         }
     }
 
--- a/savoryport_core/src/node/health.rs
+++ b/savoryport_core/src/node/health.rs
@@ -110,7 +110,7 @@
     }
 
     /// Notes that the server sent something.
-    pub fn heard(&mut self, server: &Name, now: Instant) {
+    pub fn record_activity(&mut self, server: &Name, now: Instant) {
         self.servers.entry(server.clone()).or_default().last_heard = Some(now);
     }
 
