--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/relay.rs
@@ -342,7 +342,7 @@
             if let Ok(answer) = tokio::time::timeout(stall, answer.as_mut()).await {
                 return Some(answer);
             }
-            let heard = self.cx.boards.lock().health.was_heard_since(&picked.server.id, sent_at);
+            let heard = self.cx.boards.lock().health.was_active_since(&picked.server.id, sent_at);
             if !heard && self.has_alternative() {
                 return None;
             }
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -186,7 +186,7 @@
     fn should_leave(&self, opened: &Opened) -> bool {
         let cx = &self.relay.cx;
         let since = cx.now() - MAX_GAP;
-        let heard = cx.boards.lock().health.was_heard_since(opened.flight.server(), since);
+        let heard = cx.boards.lock().health.was_active_since(opened.flight.server(), since);
         !heard && self.may_resume() && self.relay.has_alternative()
     }
 
--- a/savoryport_core/src/node/health.rs
+++ b/savoryport_core/src/node/health.rs
@@ -115,7 +115,7 @@
     }
 
     /// Returns whether the server sent something to anybody here since then.
-    pub fn was_heard_since(&self, server: &str, since: Instant) -> bool {
+    pub fn was_active_since(&self, server: &str, since: Instant) -> bool {
         let heard = self.servers.get(server).and_then(|health| health.last_heard);
         heard.is_some_and(|at| at > since)
     }
