--- a/savoryport/src/node/boards.rs
+++ b/savoryport/src/node/boards.rs
@@ -6,7 +6,7 @@
 
 use savoryport_core::Name;
 use savoryport_core::node::health::HealthTracker;
-use savoryport_core::node::load::LoadBoard;
+use savoryport_core::node::load::LoadTracker;
 use savoryport_core::node::prefix::PrefixMap;
 use savoryport_core::node::retry_budget::{RetryBound, RetryBudget};
 use savoryport_core::node::selection::{SelectionContext, SelectionCosts, Speeds};
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct Boards {
     /// What runs where.
-    pub loads: LoadBoard,
+    pub loads: LoadTracker,
     /// Which prefixes are cached where.
     pub prefixes: PrefixMap,
     /// How far servers are trusted.
@@ -49,7 +49,7 @@
     /// Starts with empty boards.
     pub fn new(bound: RetryBound, nodes: usize, costs: SelectionCosts) -> Self {
         Self(Mutex::new(Boards {
-            loads: LoadBoard::default(),
+            loads: LoadTracker::default(),
             prefixes: PrefixMap::default(),
             health: HealthTracker::default(),
             speeds: Speeds::default(),
--- a/savoryport_core/src/node/load.rs
+++ b/savoryport_core/src/node/load.rs
@@ -51,12 +51,12 @@
 
 /// Loads by server: this node's own, and the sum of all others.
 #[derive(Debug, Clone, Default)]
-pub struct LoadBoard {
+pub struct LoadTracker {
     own: HashMap<Name, ServerLoad>,
     others: HashMap<Name, ServerLoad>,
 }
 
-impl LoadBoard {
+impl LoadTracker {
     /// Notes a request that leaves for a server.
     pub fn begin(&mut self, server: &Name, rank: u8, prefill_ms: f32) {
         let load = self.own.entry(server.clone()).or_default();
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -9,7 +9,7 @@
 
 use crate::Name;
 use crate::node::health::HealthTracker;
-use crate::node::load::LoadBoard;
+use crate::node::load::LoadTracker;
 use crate::node::prefix::PrefixMap;
 use crate::node::registry::BackendServer;
 use crate::node::request::{Generation, PrefixKeys};
@@ -130,7 +130,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SelectionContext<'a> {
     /// What runs where.
-    pub loads: &'a LoadBoard,
+    pub loads: &'a LoadTracker,
     /// Which prefixes are cached where.
     pub prefixes: &'a PrefixMap,
     /// How far each server is trusted.
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -11,7 +11,7 @@
 use savoryport_core::node::admission::{AdmissionDecision, AdmissionInput, decide_admission};
 use savoryport_core::node::health::{HealthTracker, ServerOutcome};
 use savoryport_core::node::leadership::Leadership;
-use savoryport_core::node::load::{LoadBoard, ServerLoad};
+use savoryport_core::node::load::{LoadTracker, ServerLoad};
 use savoryport_core::node::placement::{
     DemandAverage, LoadAllowance, Missing, Neighbour, PlacementInput, PlacementServer,
     WeightSource, anchor, next_move, owner,
@@ -43,7 +43,7 @@
 /// Everything that a choice looks at.
 #[derive(Default)]
 struct Desk {
-    loads: LoadBoard,
+    loads: LoadTracker,
     prefixes: PrefixMap,
     health: HealthTracker,
     speeds: Speeds,
