--- a/savoryport/src/node/flight.rs
+++ b/savoryport/src/node/flight.rs
@@ -36,7 +36,7 @@
             asked.map(|asked| (server.id.clone(), asked.model.clone(), asked.adapter.clone()));
         let cache_tokens = relay.engine_class().map(|class| class.cache_tokens);
         let mut boards = cx.boards.lock();
-        boards.loads.begin(&server.id, relay.route.rank, picked.prefill_ms);
+        boards.loads.start_request(&server.id, relay.route.rank, picked.prefill_ms);
         if let Some(key) = &copy {
             *boards.copies.entry(key.clone()).or_default() += 1;
         }
--- a/savoryport_core/src/node/load.rs
+++ b/savoryport_core/src/node/load.rs
@@ -58,7 +58,7 @@
 
 impl LoadTracker {
     /// Notes a request that leaves for a server.
-    pub fn begin(&mut self, server: &Name, rank: u8, prefill_ms: f32) {
+    pub fn start_request(&mut self, server: &Name, rank: u8, prefill_ms: f32) {
         let load = self.own.entry(server.clone()).or_default();
         load.running += 1;
         load.prefill_ms[rank_index(rank)] += prefill_ms;
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -95,7 +95,7 @@
     let mut counts: HashMap<Name, u32> = HashMap::new();
     for _ in 0..20 {
         let chosen = desk.choose(&[near(&a), near(&b)], &draft("m"), now);
-        desk.loads.begin(&chosen, 0, 180.0);
+        desk.loads.start_request(&chosen, 0, 180.0);
         *counts.entry(chosen).or_default() += 1;
     }
     assert_eq!(counts.values().copied().collect::<Vec<_>>(), [10, 10]);
@@ -116,9 +116,9 @@
     let (mut desk, now) = (Desk::default(), Instant::now());
     let asked = draft("m");
     desk.prefixes.record(&a.id, a.incarnation, &asked.prefix_keys(), 250_000, now);
-    desk.loads.begin(&a.id, 0, 50.0);
+    desk.loads.start_request(&a.id, 0, 50.0);
     assert_eq!(&*desk.choose(&[near(&a), near(&b)], &asked, now), "a");
-    desk.loads.begin(&a.id, 0, 400.0);
+    desk.loads.start_request(&a.id, 0, 400.0);
     assert_eq!(&*desk.choose(&[near(&a), near(&b)], &asked, now), "b");
 }
 
@@ -132,7 +132,7 @@
     let choose = |desk: &Desk| desk.choose_with_source(&[near(&a), near(&b)], &asked, now);
     assert_eq!(choose(&desk), ("a".into(), None));
     // Without the copy, reading the beginning anew takes longer than this queue.
-    desk.loads.begin(&a.id, 0, 50.0);
+    desk.loads.start_request(&a.id, 0, 50.0);
     assert_eq!(choose(&desk), ("b".into(), Some("a".into())));
     desk.copy_ms_per_token = None;
     assert_eq!(choose(&desk), ("a".into(), None));
@@ -146,7 +146,7 @@
     let parts = [PromptPart { id: 7, tokens: 200 }, PromptPart { id: 8, tokens: 600 }];
     let asked = Generation { prompt_tokens: 800, parts: parts.into_iter().collect(), ..draft("m") };
     desk.prefixes.record(&a.id, a.incarnation, &asked.prefix_keys()[..1].into(), 250_000, now);
-    desk.loads.begin(&a.id, 0, 50.0);
+    desk.loads.start_request(&a.id, 0, 50.0);
     let chosen = desk.choose_with_source(&[near(&a), near(&b)], &asked, now);
     assert_eq!(chosen, ("b".into(), None));
 }
@@ -183,7 +183,7 @@
         let outcome = if failed { ServerOutcome::Failed } else { ServerOutcome::Answered };
         desk.health.record_outcome(&a.id, outcome, now);
     }
-    desk.loads.begin(&b.id, 0, 300.0);
+    desk.loads.start_request(&b.id, 0, 300.0);
     assert_eq!(&*desk.choose(&[near(&a), near(&b)], &draft("m"), now), "b");
 }
 
@@ -206,9 +206,9 @@
     let (mut desk, now) = (Desk::default(), Instant::now());
     let candidates =
         [near(&a), Candidate { server: &far, distance: Distance::Far, adapter_orders: 0 }];
-    desk.loads.begin(&a.id, 0, 60.0);
+    desk.loads.start_request(&a.id, 0, 60.0);
     assert_eq!(&*desk.choose(&candidates, &draft("m"), now), "a");
-    desk.loads.begin(&a.id, 0, 200.0);
+    desk.loads.start_request(&a.id, 0, 200.0);
     assert_eq!(&*desk.choose(&candidates, &draft("m"), now), "far");
 }
 
