--- a/savoryport/src/node/flight.rs
+++ b/savoryport/src/node/flight.rs
@@ -79,7 +79,7 @@
         }
         let took = self.cx.now() - self.sent_at;
         let mut boards = self.cx.boards.lock();
-        boards.loads.first_token(&self.server, self.rank, self.prefill_ms);
+        boards.loads.record_first_token(&self.server, self.rank, self.prefill_ms);
         if let Some(model) = &self.model {
             let expected_ms = self.expected.as_secs_f64() * 1e3;
             boards.speeds.note_first_token(&self.server, model, expected_ms, took);
@@ -91,7 +91,7 @@
     fn drop(&mut self) {
         let mut boards = self.cx.boards.lock();
         if !self.has_first_token {
-            boards.loads.first_token(&self.server, self.rank, self.prefill_ms);
+            boards.loads.record_first_token(&self.server, self.rank, self.prefill_ms);
         }
         boards.loads.end(&self.server);
         if let Some(key) = &self.copy
--- a/savoryport_core/src/node/load.rs
+++ b/savoryport_core/src/node/load.rs
@@ -65,7 +65,7 @@
     }
 
     /// Notes the first token of a request.
-    pub fn first_token(&mut self, server: &str, rank: u8, prefill_ms: f32) {
+    pub fn record_first_token(&mut self, server: &str, rank: u8, prefill_ms: f32) {
         if let Some(load) = self.own.get_mut(server) {
             let waiting = &mut load.prefill_ms[rank_index(rank)];
             *waiting = (*waiting - prefill_ms).max(0.0);
