--- a/savoryport/src/node/flight.rs
+++ b/savoryport/src/node/flight.rs
@@ -93,7 +93,7 @@
         if !self.has_first_token {
             boards.loads.record_first_token(&self.server, self.rank, self.prefill_ms);
         }
-        boards.loads.end(&self.server);
+        boards.loads.end_request(&self.server);
         if let Some(key) = &self.copy
             && let Some(requests) = boards.copies.get_mut(key)
         {
--- a/savoryport_core/src/node/load.rs
+++ b/savoryport_core/src/node/load.rs
@@ -73,7 +73,7 @@
     }
 
     /// Notes the end of a request.
-    pub fn end(&mut self, server: &str) {
+    pub fn end_request(&mut self, server: &str) {
         if let Some(load) = self.own.get_mut(server) {
             load.running = load.running.saturating_sub(1);
             if load.is_idle() {
