--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -133,7 +133,7 @@
     let now = cx.now();
     // A node that does not hear the store, or has just started, may know less than this one.
     let takes_servers = takes_servers && reply.is_holder;
-    cx.boards.lock().loads.set_others(reply.loads.iter().cloned().collect());
+    cx.boards.lock().loads.set_other_nodes(reply.loads.iter().cloned().collect());
     note_prompts(cx, &reply.prompts, now);
     cx.fleet.update(|state| {
         if takes_servers {
@@ -171,7 +171,7 @@
     let others = cx.hub.loads_but(None, true, now);
     let nodes = cx.fleet.view().members.len();
     let mut boards = cx.boards.lock();
-    boards.loads.set_others(others);
+    boards.loads.set_other_nodes(others);
     boards.budget.set_nodes(nodes);
 }
 
--- a/savoryport_core/src/node/load.rs
+++ b/savoryport_core/src/node/load.rs
@@ -83,7 +83,7 @@
     }
 
     /// Takes the sums of the other nodes.
-    pub fn set_others(&mut self, others: HashMap<Name, ServerLoad>) {
+    pub fn set_other_nodes(&mut self, others: HashMap<Name, ServerLoad>) {
         self.others = others;
     }
 
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -106,7 +106,7 @@
     let (a, b) = (server("a", "east", &["m"]), server("b", "east", &["m"]));
     let (mut desk, now) = (Desk::default(), Instant::now());
     let busy = ServerLoad { prefill_ms: [900.0, 0.0, 0.0], running: 5 };
-    desk.loads.set_others(HashMap::from([("a".into(), busy)]));
+    desk.loads.set_other_nodes(HashMap::from([("a".into(), busy)]));
     assert_eq!(&*desk.choose(&[near(&a), near(&b)], &draft("m"), now), "b");
 }
 
