--- a/savoryport_core/src/node/load.rs
+++ b/savoryport_core/src/node/load.rs
@@ -42,7 +42,7 @@
 
     /// Returns the prefill that a request of this rank waits for. Less urgent prompts that are
     /// already being read are not interrupted, so half of theirs counts.
-    pub fn ahead_ms(&self, rank: u8) -> f32 {
+    pub fn prefill_ahead_ms(&self, rank: u8) -> f32 {
         let position = rank_index(rank);
         let (ahead, behind) = self.prefill_ms.split_at(position + 1);
         ahead.iter().sum::<f32>() + behind.iter().sum::<f32>() / 2.0
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -218,7 +218,7 @@
                     copy_from = Some(longest.server);
                 }
             }
-            let ahead = f64::from(load.ahead_ms(demanded.rank));
+            let ahead = f64::from(load.prefill_ahead_ms(demanded.rank));
             (
                 own,
                 ahead + MS_PER_RUNNING * f64::from(load.running) + full_wait(server, load.running),
