--- a/savoryport/src/node/boards.rs
+++ b/savoryport/src/node/boards.rs
@@ -7,7 +7,7 @@
 use savoryport_core::Name;
 use savoryport_core::node::health::HealthTracker;
 use savoryport_core::node::load::LoadTracker;
-use savoryport_core::node::prefix::PrefixMap;
+use savoryport_core::node::prefix::PrefixCacheIndex;
 use savoryport_core::node::retry_budget::{RetryBound, RetryBudget};
 use savoryport_core::node::selection::{SelectionContext, SelectionCosts, Speeds};
 
@@ -25,7 +25,7 @@
     /// What runs where.
     pub loads: LoadTracker,
     /// Which prefixes are cached where.
-    pub prefixes: PrefixMap,
+    pub prefixes: PrefixCacheIndex,
     /// How far servers are trusted.
     pub health: HealthTracker,
     /// How fast models and servers are.
@@ -50,7 +50,7 @@
     pub fn new(bound: RetryBound, nodes: usize, costs: SelectionCosts) -> Self {
         Self(Mutex::new(Boards {
             loads: LoadTracker::default(),
-            prefixes: PrefixMap::default(),
+            prefixes: PrefixCacheIndex::default(),
             health: HealthTracker::default(),
             speeds: Speeds::default(),
             budget: RetryBudget::new(bound, nodes),
--- a/savoryport_core/src/node/prefix.rs
+++ b/savoryport_core/src/node/prefix.rs
@@ -11,7 +11,7 @@
 
 /// Cached prefixes by server.
 #[derive(Debug, Clone, Default)]
-pub struct PrefixMap {
+pub struct PrefixCacheIndex {
     servers: HashMap<Name, ServerCache>,
 }
 
@@ -28,7 +28,7 @@
     used: Instant,
 }
 
-impl PrefixMap {
+impl PrefixCacheIndex {
     /// Returns how many of the prompt's tokens the server has probably cached.
     pub fn cached_tokens(&self, server: &str, incarnation: u64, keys: &PrefixKeys) -> u32 {
         let Some(cache) = self.servers.get(server) else { return 0 };
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -10,7 +10,7 @@
 use crate::Name;
 use crate::node::health::HealthTracker;
 use crate::node::load::LoadTracker;
-use crate::node::prefix::PrefixMap;
+use crate::node::prefix::PrefixCacheIndex;
 use crate::node::registry::BackendServer;
 use crate::node::request::{Generation, PrefixKeys};
 
@@ -132,7 +132,7 @@
     /// What runs where.
     pub loads: &'a LoadTracker,
     /// Which prefixes are cached where.
-    pub prefixes: &'a PrefixMap,
+    pub prefixes: &'a PrefixCacheIndex,
     /// How far each server is trusted.
     pub health: &'a HealthTracker,
     /// How fast models and servers are.
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -16,7 +16,7 @@
     DemandAverage, LoadAllowance, Missing, Neighbour, PlacementInput, PlacementServer,
     WeightSource, anchor, next_move, owner,
 };
-use savoryport_core::node::prefix::PrefixMap;
+use savoryport_core::node::prefix::PrefixCacheIndex;
 use savoryport_core::node::registry::{BackendServer, Registry};
 use savoryport_core::node::request::{Generation, PromptPart};
 use savoryport_core::node::retry_budget::{RetryBound, RetryBudget};
@@ -44,7 +44,7 @@
 #[derive(Default)]
 struct Desk {
     loads: LoadTracker,
-    prefixes: PrefixMap,
+    prefixes: PrefixCacheIndex,
     health: HealthTracker,
     speeds: Speeds,
     copy_ms_per_token: Option<f64>,
@@ -153,7 +153,7 @@
 
 #[test]
 fn a_restarted_server_has_nothing_cached() {
-    let (mut map, now) = (PrefixMap::default(), Instant::now());
+    let (mut map, now) = (PrefixCacheIndex::default(), Instant::now());
     let keys = draft("m").prefix_keys();
     map.record(&"a".into(), 1, &keys, 250_000, now);
     assert_eq!(map.cached_tokens("a", 1, &keys), 9_190);
@@ -162,7 +162,7 @@
 
 #[test]
 fn a_full_cache_forgets_its_oldest_parts() {
-    let (mut map, now) = (PrefixMap::default(), Instant::now());
+    let (mut map, now) = (PrefixCacheIndex::default(), Instant::now());
     let prompt = |id: u64| {
         let mut asked = draft("m");
         asked.parts = [PromptPart { id, tokens: 1_000 }].into_iter().collect();
