--- a/savoryport/src/node/reader.rs
+++ b/savoryport/src/node/reader.rs
@@ -202,7 +202,7 @@
 fn apply_removal(state: &mut FleetState, key: &str, recovering: bool, now: Instant) {
     if let Some(id) = server_id(key) {
         if recovering {
-            state.registry.doubt(id, now);
+            state.registry.mark_missing(id, now);
         } else if state.registry.remove(id) {
             log::info!(server = id; "server gone");
         }
--- a/savoryport_core/src/node/registry.rs
+++ b/savoryport_core/src/node/registry.rs
@@ -138,7 +138,7 @@
     }
 
     /// Notes a removal that may be due to an outage of the store only.
-    pub fn doubt(&mut self, id: &str, now: Instant) {
+    pub fn mark_missing(&mut self, id: &str, now: Instant) {
         if self.servers.contains_key(id) {
             self.missing_since.entry(id.into()).or_insert(now);
         }
