--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -58,7 +58,7 @@
     *answer.headers_mut() = headers;
     let forwarder = Forwarder {
         is_resumable: relay.route.kind == RequestKind::Stream { resumable: true },
-        last_event: relay.head.last_event,
+        last_event: relay.head.last_event_id,
         cutter: EventCutter::default(),
         pieces,
         relay,
--- a/savoryport_core/src/node/request.rs
+++ b/savoryport_core/src/node/request.rs
@@ -63,5 +63,5 @@
     /// Set where a model is asked.
     pub generation: Option<Generation>,
     /// The last event that the caller has of an earlier stream.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
