--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -12,7 +12,7 @@
 use savoryport_core::node::placement::owner;
 use savoryport_core::node::registry::BackendServer;
 use savoryport_core::node::request::Generation;
-use savoryport_core::node::selection::{Candidate, Demanded, Distance, choose};
+use savoryport_core::node::selection::{Candidate, Distance, SelectionRequest, choose};
 
 use super::answer::{Cause, Refusal};
 use super::planner::engine_domains;
@@ -136,8 +136,8 @@
         Refusal::retry(cause, retry_after(COME_BACK, self.cx.draw()))
     }
 
-    fn demanded(&self) -> Demanded<'_> {
-        Demanded {
+    fn demanded(&self) -> SelectionRequest<'_> {
+        SelectionRequest {
             generation: self.head.generation.as_ref(),
             keys: &self.keys,
             service: &self.service,
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -145,7 +145,7 @@
 
 /// What a choice was made for.
 #[derive(Debug, Clone, Copy)]
-pub struct Demanded<'a> {
+pub struct SelectionRequest<'a> {
     /// The model request, if one is asked.
     pub generation: Option<&'a Generation>,
     /// The keys of its prompt.
@@ -195,7 +195,7 @@
 fn assess<'a>(
     candidate: Candidate<'a>,
     longest: Option<LongestCache<'a>>,
-    demanded: &Demanded<'_>,
+    demanded: &SelectionRequest<'_>,
     cx: &SelectionContext<'_>,
 ) -> Choice<'a> {
     let server = candidate.server;
@@ -250,7 +250,7 @@
 /// Returns the best candidate; one that is paused comes last.
 pub fn choose<'a>(
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
-    demanded: &Demanded<'_>,
+    demanded: &SelectionRequest<'_>,
     cx: &SelectionContext<'_>,
 ) -> Option<Choice<'a>> {
     let key = |choice: &Choice<'_>| {
@@ -266,7 +266,7 @@
 /// Returns the candidate with the most of the prompt in its cache, where caches can be copied.
 fn longest_cache<'a>(
     candidates: impl Iterator<Item = Candidate<'a>>,
-    demanded: &Demanded<'_>,
+    demanded: &SelectionRequest<'_>,
     cx: &SelectionContext<'_>,
 ) -> Option<LongestCache<'a>> {
     demanded.copy_ms_per_token?;
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -21,7 +21,7 @@
 use savoryport_core::node::request::{Generation, PromptPart};
 use savoryport_core::node::retry_budget::{RetryBound, RetryBudget};
 use savoryport_core::node::selection::{
-    Candidate, Demanded, Distance, SelectionContext, SelectionCosts, Speeds, choose,
+    Candidate, Distance, SelectionContext, SelectionCosts, SelectionRequest, Speeds, choose,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -70,7 +70,7 @@
             now,
         };
         let keys = asked.prefix_keys();
-        let demanded = Demanded {
+        let demanded = SelectionRequest {
             generation: Some(asked),
             keys: &keys,
             service: "drafts",
