--- a/savoryport/src/node/boards.rs
+++ b/savoryport/src/node/boards.rs
@@ -9,7 +9,7 @@
 use savoryport_core::node::load::LoadTracker;
 use savoryport_core::node::prefix::PrefixCacheIndex;
 use savoryport_core::node::retry_budget::{RetryBound, RetryBudget};
-use savoryport_core::node::selection::{SelectionContext, SelectionCosts, Speeds};
+use savoryport_core::node::selection::{SelectionContext, SelectionCosts, SpeedEstimates};
 
 use super::rpc::{CopyUse, PromptRecord};
 
@@ -29,7 +29,7 @@
     /// How far servers are trusted.
     pub health: HealthTracker,
     /// How fast models and servers are.
-    pub speeds: Speeds,
+    pub speeds: SpeedEstimates,
     /// Repeats that are left.
     pub budget: RetryBudget,
     /// Requests under way by copy.
@@ -52,7 +52,7 @@
             loads: LoadTracker::default(),
             prefixes: PrefixCacheIndex::default(),
             health: HealthTracker::default(),
-            speeds: Speeds::default(),
+            speeds: SpeedEstimates::default(),
             budget: RetryBudget::new(bound, nodes),
             copies: HashMap::new(),
             work_ms: HashMap::new(),
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -66,13 +66,13 @@
 
 /// Running averages of how fast models and servers work.
 #[derive(Debug, Clone, Default)]
-pub struct Speeds {
+pub struct SpeedEstimates {
     models: HashMap<Name, f64>,
     slowness: HashMap<Name, f64>,
     services: HashMap<Name, f64>,
 }
 
-impl Speeds {
+impl SpeedEstimates {
     /// Returns the expected prefill time of this many tokens in milliseconds.
     pub fn prefill_ms(&self, model: &str, tokens: u32) -> f64 {
         let per_token = self.models.get(model).copied().unwrap_or(INITIAL_PREFILL_MS_PER_TOKEN);
@@ -136,7 +136,7 @@
     /// How far each server is trusted.
     pub health: &'a HealthTracker,
     /// How fast models and servers are.
-    pub speeds: &'a Speeds,
+    pub speeds: &'a SpeedEstimates,
     /// What distance costs.
     pub costs: SelectionCosts,
     /// The present time.
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -21,7 +21,7 @@
 use savoryport_core::node::request::{Generation, PromptPart};
 use savoryport_core::node::retry_budget::{RetryBound, RetryBudget};
 use savoryport_core::node::selection::{
-    Candidate, Distance, SelectionContext, SelectionCosts, SelectionRequest, Speeds, choose,
+    Candidate, Distance, SelectionContext, SelectionCosts, SelectionRequest, SpeedEstimates, choose,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -46,7 +46,7 @@
     loads: LoadTracker,
     prefixes: PrefixCacheIndex,
     health: HealthTracker,
-    speeds: Speeds,
+    speeds: SpeedEstimates,
     copy_ms_per_token: Option<f64>,
 }
 
