--- a/savoryport/src/node/flight.rs
+++ b/savoryport/src/node/flight.rs
@@ -82,7 +82,7 @@
         boards.loads.record_first_token(&self.server, self.rank, self.prefill_ms);
         if let Some(model) = &self.model {
             let expected_ms = self.expected.as_secs_f64() * 1e3;
-            boards.speeds.note_first_token(&self.server, model, expected_ms, took);
+            boards.speeds.record_first_token(&self.server, model, expected_ms, took);
         }
     }
 }
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -90,7 +90,7 @@
     }
 
     /// Takes the time to a first token, against the prefill that was expected to precede it.
-    pub fn note_first_token(
+    pub fn record_first_token(
         &mut self,
         server: &Name,
         model: &Name,
