--- a/savoryport/src/node/verdict.rs
+++ b/savoryport/src/node/verdict.rs
@@ -29,7 +29,7 @@
                 self.note(&picked.server.id, ServerOutcome::Answered);
                 let took = self.cx.now() - flight.sent_at();
                 let server = &picked.server.id;
-                self.cx.boards.lock().speeds.note_service(server, &self.service, took);
+                self.cx.boards.lock().speeds.record_service_time(server, &self.service, took);
                 self.cx.pool.keep(connection, keep_alive(&headers));
                 strip_connection_headers(&mut headers);
                 self.log_end("answered", status.as_u16(), None);
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -111,7 +111,7 @@
     }
 
     /// Takes the time of an answer of a plain service.
-    pub fn note_service(&mut self, server: &Name, service: &Name, took: Duration) {
+    pub fn record_service_time(&mut self, server: &Name, service: &Name, took: Duration) {
         let took_ms = took.as_secs_f64() * 1e3;
         let average = self.services.entry(service.clone()).or_insert(INITIAL_SERVICE_MS);
         let ratio = (took_ms / *average).clamp(0.2, 10.0);
