--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -12,7 +12,7 @@
 use savoryport_core::node::placement::owner;
 use savoryport_core::node::registry::BackendServer;
 use savoryport_core::node::request::Generation;
-use savoryport_core::node::selection::{Candidate, Distance, SelectionRequest, choose};
+use savoryport_core::node::selection::{Candidate, Distance, SelectionRequest, choose_server};
 
 use super::answer::{Cause, Refusal};
 use super::planner::engine_domains;
@@ -71,7 +71,7 @@
         let candidates = self.candidates(&view);
         let mut boards = self.cx.boards.lock();
         let demanded = self.demanded();
-        let prefill = choose(
+        let prefill = choose_server(
             candidates.iter().map(|(candidate, _)| *candidate),
             &demanded,
             &boards.selection(self.arrived),
@@ -178,7 +178,9 @@
         let selection = boards.selection(now);
         let demanded = self.demanded();
         let options = candidates.iter().map(|(candidate, _)| *candidate);
-        let Some(choice) = choose(options, &demanded, &selection) else { return Look::NoServer };
+        let Some(choice) = choose_server(options, &demanded, &selection) else {
+            return Look::NoServer;
+        };
         // The bounds on waiting are for a first event; who has a part of a stream waits for the rest.
         let has_begun = self.first_token.is_some();
         let prospect = AdmissionInput {
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -248,7 +248,7 @@
 }
 
 /// Returns the best candidate; one that is paused comes last.
-pub fn choose<'a>(
+pub fn choose_server<'a>(
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
     demanded: &SelectionRequest<'_>,
     cx: &SelectionContext<'_>,
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -21,7 +21,8 @@
 use savoryport_core::node::request::{Generation, PromptPart};
 use savoryport_core::node::retry_budget::{RetryBound, RetryBudget};
 use savoryport_core::node::selection::{
-    Candidate, Distance, SelectionContext, SelectionCosts, SelectionRequest, SpeedEstimates, choose,
+    Candidate, Distance, SelectionContext, SelectionCosts, SelectionRequest, SpeedEstimates,
+    choose_server,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -77,7 +78,7 @@
             rank: 0,
             copy_ms_per_token: self.copy_ms_per_token,
         };
-        let chosen = choose(candidates.iter().copied(), &demanded, &cx);
+        let chosen = choose_server(candidates.iter().copied(), &demanded, &cx);
         let chosen = chosen.expect("there are candidates");
         let source = chosen.copy_from.map(|source| source.id.clone());
         (chosen.candidate.server.id.clone(), source)
