--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -247,7 +247,7 @@
     fn distance(&self, server: &BackendServer) -> Distance {
         let settings = &self.cx.settings;
         if server.failure_domain == settings.failure_domain {
-            return Distance::Near;
+            return Distance::SameDomain;
         }
         match settings.region_of(&server.failure_domain) {
             Some(region) if *region == settings.region => Distance::Region,
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the same failure domain.
-    Near,
+    SameDomain,
     /// In another failure domain of the region.
     Region,
     /// In another region.
@@ -231,7 +231,7 @@
     };
     let expected_ms = (own_ms + wait_ms) * slowness;
     let distance_ms = match candidate.distance {
-        Distance::Near => 0.0,
+        Distance::SameDomain => 0.0,
         Distance::Region => cx.costs.other_domain_ms,
         Distance::Far => cx.costs.other_region_ms,
     };
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -86,7 +86,7 @@
 }
 
 fn near(server: &BackendServer) -> Candidate<'_> {
-    Candidate { server, distance: Distance::Near, adapter_orders: 0 }
+    Candidate { server, distance: Distance::SameDomain, adapter_orders: 0 }
 }
 
 #[test]
