--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -250,7 +250,7 @@
             return Distance::SameDomain;
         }
         match settings.region_of(&server.failure_domain) {
-            Some(region) if *region == settings.region => Distance::Region,
+            Some(region) if *region == settings.region => Distance::SameRegion,
             _ => Distance::Far,
         }
     }
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -59,7 +59,7 @@
     /// In the same failure domain.
     SameDomain,
     /// In another failure domain of the region.
-    Region,
+    SameRegion,
     /// In another region.
     Far,
 }
@@ -232,7 +232,7 @@
     let expected_ms = (own_ms + wait_ms) * slowness;
     let distance_ms = match candidate.distance {
         Distance::SameDomain => 0.0,
-        Distance::Region => cx.costs.other_domain_ms,
+        Distance::SameRegion => cx.costs.other_domain_ms,
         Distance::Far => cx.costs.other_region_ms,
     };
     let adapter_ms = cx.costs.adapter_load_ms * f64::from(candidate.adapter_orders);
