--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -251,7 +251,7 @@
         }
         match settings.region_of(&server.failure_domain) {
             Some(region) if *region == settings.region => Distance::SameRegion,
-            _ => Distance::Far,
+            _ => Distance::OtherRegion,
         }
     }
 
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -61,7 +61,7 @@
     /// In another failure domain of the region.
     SameRegion,
     /// In another region.
-    Far,
+    OtherRegion,
 }
 
 /// Running averages of how fast models and servers work.
@@ -233,7 +233,7 @@
     let distance_ms = match candidate.distance {
         Distance::SameDomain => 0.0,
         Distance::SameRegion => cx.costs.other_domain_ms,
-        Distance::Far => cx.costs.other_region_ms,
+        Distance::OtherRegion => cx.costs.other_region_ms,
     };
     let adapter_ms = cx.costs.adapter_load_ms * f64::from(candidate.adapter_orders);
     let failures_ms = cx.health.failure_rate(&server.id) * MS_PER_FAILURE_RATE;
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -206,7 +206,7 @@
     let (a, far) = (server("a", "east", &["m"]), server("far", "west", &["m"]));
     let (mut desk, now) = (Desk::default(), Instant::now());
     let candidates =
-        [near(&a), Candidate { server: &far, distance: Distance::Far, adapter_orders: 0 }];
+        [near(&a), Candidate { server: &far, distance: Distance::OtherRegion, adapter_orders: 0 }];
     desk.loads.start_request(&a.id, 0, 60.0);
     assert_eq!(&*desk.choose(&candidates, &draft("m"), now), "a");
     desk.loads.start_request(&a.id, 0, 200.0);
