--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -145,7 +145,7 @@
 
 /// Returns the copy of a model that stays whatever the demand, so that all domains, each on its own,
 /// keep at least one.
-pub fn anchor<'a>(model: &str, holders: &'a [Name]) -> Option<&'a Name> {
+pub fn protected_holder<'a>(model: &str, holders: &'a [Name]) -> Option<&'a Name> {
     let seed = xxh3_64_with_seed(model.as_bytes(), 0);
     holders.iter().min_by_key(|server| xxh3_64_with_seed(server.as_bytes(), seed))
 }
@@ -340,7 +340,7 @@
         .loaded_at
         .get(model)
         .is_none_or(|at| input.now.saturating_duration_since(*at) >= MIN_COPY_AGE);
-    elsewhere && anchor(model, holders) != Some(id) && is_old
+    elsewhere && protected_holder(model, holders) != Some(id) && is_old
 }
 
 /// Returns the domain that brings a model back when nobody holds it, among the domains with servers.
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -14,7 +14,7 @@
 use savoryport_core::node::load::{LoadTracker, ServerLoad};
 use savoryport_core::node::placement::{
     DemandAverage, LoadAllowance, Missing, Neighbour, PlacementInput, PlacementServer,
-    WeightSource, anchor, next_move, owner,
+    WeightSource, next_move, owner, protected_holder,
 };
 use savoryport_core::node::prefix::PrefixCacheIndex;
 use savoryport_core::node::registry::{BackendServer, Registry};
@@ -448,7 +448,11 @@
         let chosen = next_move(&input)?;
         for model in &chosen.unload {
             let holders = &self.holders[model];
-            assert_ne!(anchor(model, holders), Some(&chosen.server), "the last copy goes");
+            assert_ne!(
+                protected_holder(model, holders),
+                Some(&chosen.server),
+                "the last copy goes"
+            );
         }
         Some((chosen.server, chosen.load))
     }
