--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/dispatch.rs
@@ -9,7 +9,7 @@
     AdmissionDecision, AdmissionInput, decide_admission, retry_after,
 };
 use savoryport_core::node::deployment::EngineClass;
-use savoryport_core::node::placement::owner;
+use savoryport_core::node::placement::restoring_domain;
 use savoryport_core::node::registry::BackendServer;
 use savoryport_core::node::request::Generation;
 use savoryport_core::node::selection::{Candidate, Distance, SelectionRequest, choose_server};
@@ -298,7 +298,7 @@
     async fn wish_for_model(&self, model: &Name) -> Option<Duration> {
         let cx = &self.cx;
         let domains = engine_domains(&cx.fleet.view(), &self.service);
-        let domain = owner(model, domains.iter()).unwrap_or(&cx.settings.failure_domain);
+        let domain = restoring_domain(model, domains.iter()).unwrap_or(&cx.settings.failure_domain);
         let reply = if cx.desks.holds(domain) {
             cx.desks.want_model(cx, &self.service, model, domain)
         } else {
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -8,7 +8,7 @@
 use savoryport_core::node::deployment::EngineClass;
 use savoryport_core::node::placement::{
     DemandAverage, LoadAllowance, Missing, Move, Neighbour, PlacementInput, PlacementServer,
-    WeightSource, next_move, owner,
+    WeightSource, next_move, restoring_domain,
 };
 use savoryport_core::node::registry::BackendServer;
 use smallvec::SmallVec;
@@ -149,7 +149,8 @@
         let mut missing = BTreeMap::new();
         for model in class.models.keys().filter(|model| !holders.contains_key(*model)) {
             let since = *self.missing_since.entry(model.clone()).or_insert(now);
-            let is_owned = owner(model, domains.iter()).is_some_and(|owner| &**owner == domain);
+            let is_owned =
+                restoring_domain(model, domains.iter()).is_some_and(|owner| &**owner == domain);
             if self.wishes.contains_key(model) {
                 missing.insert(model.clone(), Missing::Awaited);
             } else if is_owned && now.saturating_duration_since(since) >= RESTORE_AFTER {
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -345,7 +345,10 @@
 
 /// Returns the domain that brings a model back when nobody holds it, among the domains with servers.
 /// Every node finds the same one, so that a model is not loaded in each domain at once.
-pub fn owner<'a>(model: &str, domains: impl Iterator<Item = &'a Name>) -> Option<&'a Name> {
+pub fn restoring_domain<'a>(
+    model: &str,
+    domains: impl Iterator<Item = &'a Name>,
+) -> Option<&'a Name> {
     let seed = xxh3_64_with_seed(model.as_bytes(), 0);
     domains.min_by_key(|domain| xxh3_64_with_seed(domain.as_bytes(), seed))
 }
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -14,7 +14,7 @@
 use savoryport_core::node::load::{LoadTracker, ServerLoad};
 use savoryport_core::node::placement::{
     DemandAverage, LoadAllowance, Missing, Neighbour, PlacementInput, PlacementServer,
-    WeightSource, next_move, owner, protected_holder,
+    WeightSource, next_move, protected_holder, restoring_domain,
 };
 use savoryport_core::node::prefix::PrefixCacheIndex;
 use savoryport_core::node::registry::{BackendServer, Registry};
@@ -597,8 +597,8 @@
     let mut owners: BTreeMap<Name, u32> = BTreeMap::new();
     for number in 0..300 {
         let model = format!("m{number}");
-        let found = owner(&model, domains.iter()).expect("there are domains");
-        assert_eq!(Some(found), owner(&model, reversed.iter()));
+        let found = restoring_domain(&model, domains.iter()).expect("there are domains");
+        assert_eq!(Some(found), restoring_domain(&model, reversed.iter()));
         *owners.entry(found.clone()).or_default() += 1;
     }
     assert!(owners.values().all(|count| *count > 60), "{owners:?}");
