--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -7,7 +7,7 @@
 use savoryport_core::Name;
 use savoryport_core::node::deployment::EngineClass;
 use savoryport_core::node::placement::{
-    DemandAverage, LoadAllowance, Missing, Move, Neighbour, PlacementInput, PlacementServer,
+    DemandAverage, LoadAllowance, MissingModel, Move, Neighbour, PlacementInput, PlacementServer,
     WeightSource, next_move, restoring_domain,
 };
 use savoryport_core::node::registry::BackendServer;
@@ -128,7 +128,7 @@
     class: &'a EngineClass,
     servers: &'a [Arc<BackendServer>],
     holders: &'a HashMap<Name, Vec<Name>>,
-    missing: &'a BTreeMap<Name, Missing>,
+    missing: &'a BTreeMap<Name, MissingModel>,
     demand: &'a HashMap<Name, f64>,
     neighbours: &'a [Neighbour],
 }
@@ -143,7 +143,7 @@
         domain: &str,
         holders: &HashMap<Name, Vec<Name>>,
         now: Instant,
-    ) -> BTreeMap<Name, Missing> {
+    ) -> BTreeMap<Name, MissingModel> {
         let domains = engine_domains(view, service);
         self.missing_since.retain(|model, _| !holders.contains_key(model));
         let mut missing = BTreeMap::new();
@@ -152,9 +152,9 @@
             let is_owned =
                 restoring_domain(model, domains.iter()).is_some_and(|owner| &**owner == domain);
             if self.wishes.contains_key(model) {
-                missing.insert(model.clone(), Missing::Awaited);
+                missing.insert(model.clone(), MissingModel::Awaited);
             } else if is_owned && now.saturating_duration_since(since) >= RESTORE_AFTER {
-                missing.insert(model.clone(), Missing::Unasked);
+                missing.insert(model.clone(), MissingModel::Unasked);
             }
         }
         missing
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -87,7 +87,7 @@
 
 /// How urgently a model that nobody holds is needed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Missing {
+pub enum MissingModel {
     /// Requests wait for it.
     Awaited,
     /// Nobody asks for it.
@@ -104,7 +104,7 @@
     /// Ready servers of every domain that hold a model.
     pub holders: &'a HashMap<Name, Vec<Name>>,
     /// Models that nobody holds and this domain is to bring back.
-    pub missing: &'a BTreeMap<Name, Missing>,
+    pub missing: &'a BTreeMap<Name, MissingModel>,
     /// This domain.
     pub domain: &'a Name,
     /// Work by model in servers' worth that callers of this domain ask for.
@@ -231,8 +231,8 @@
     let anywhere = here > 0 || input.holders.get(model).is_some_and(|held| !held.is_empty());
     if !anywhere {
         return match input.missing.get(model) {
-            Some(Missing::Awaited) => AWAITED_VALUE + demand,
-            Some(Missing::Unasked) => MISSING_VALUE,
+            Some(MissingModel::Awaited) => AWAITED_VALUE + demand,
+            Some(MissingModel::Unasked) => MISSING_VALUE,
             None => 0.0,
         };
     }
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -13,7 +13,7 @@
 use savoryport_core::node::leadership::Leadership;
 use savoryport_core::node::load::{LoadTracker, ServerLoad};
 use savoryport_core::node::placement::{
-    DemandAverage, LoadAllowance, Missing, Neighbour, PlacementInput, PlacementServer,
+    DemandAverage, LoadAllowance, MissingModel, Neighbour, PlacementInput, PlacementServer,
     WeightSource, next_move, protected_holder, restoring_domain,
 };
 use savoryport_core::node::prefix::PrefixCacheIndex;
@@ -382,7 +382,7 @@
     name: Name,
     servers: Vec<BackendServer>,
     holders: HashMap<Name, Vec<Name>>,
-    missing: BTreeMap<Name, Missing>,
+    missing: BTreeMap<Name, MissingModel>,
     demand: HashMap<Name, f64>,
     neighbours: Vec<Neighbour>,
     loaded_at: HashMap<Name, Instant>,
@@ -536,8 +536,8 @@
 #[test]
 fn a_model_that_requests_wait_for_goes_before_one_that_nobody_asks_for() {
     let mut domain = Domain::new(&[("a", &["m0", "m1"])], &[]);
-    domain.missing.insert("m2".into(), Missing::Unasked);
-    domain.missing.insert("m3".into(), Missing::Awaited);
+    domain.missing.insert("m2".into(), MissingModel::Unasked);
+    domain.missing.insert("m3".into(), MissingModel::Awaited);
     assert_eq!(domain.next(true), Some(("a".into(), "m3".into())));
     domain.missing.remove("m3");
     assert_eq!(domain.next(true), Some(("a".into(), "m2".into())));
