--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -152,7 +152,7 @@
             let is_owned =
                 restoring_domain(model, domains.iter()).is_some_and(|owner| &**owner == domain);
             if self.wishes.contains_key(model) {
-                missing.insert(model.clone(), MissingModel::Awaited);
+                missing.insert(model.clone(), MissingModel::Requested);
             } else if is_owned && now.saturating_duration_since(since) >= RESTORE_AFTER {
                 missing.insert(model.clone(), MissingModel::Unasked);
             }
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -89,7 +89,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MissingModel {
     /// Requests wait for it.
-    Awaited,
+    Requested,
     /// Nobody asks for it.
     Unasked,
 }
@@ -231,7 +231,7 @@
     let anywhere = here > 0 || input.holders.get(model).is_some_and(|held| !held.is_empty());
     if !anywhere {
         return match input.missing.get(model) {
-            Some(MissingModel::Awaited) => AWAITED_VALUE + demand,
+            Some(MissingModel::Requested) => AWAITED_VALUE + demand,
             Some(MissingModel::Unasked) => MISSING_VALUE,
             None => 0.0,
         };
