--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -154,7 +154,7 @@
             if self.wishes.contains_key(model) {
                 missing.insert(model.clone(), MissingModel::Requested);
             } else if is_owned && now.saturating_duration_since(since) >= RESTORE_AFTER {
-                missing.insert(model.clone(), MissingModel::Unasked);
+                missing.insert(model.clone(), MissingModel::NotRequested);
             }
         }
         missing
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -91,7 +91,7 @@
     /// Requests wait for it.
     Requested,
     /// Nobody asks for it.
-    Unasked,
+    NotRequested,
 }
 
 /// What a domain's next load is decided from.
@@ -232,7 +232,7 @@
     if !anywhere {
         return match input.missing.get(model) {
             Some(MissingModel::Requested) => AWAITED_VALUE + demand,
-            Some(MissingModel::Unasked) => MISSING_VALUE,
+            Some(MissingModel::NotRequested) => MISSING_VALUE,
             None => 0.0,
         };
     }
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -536,7 +536,7 @@
 #[test]
 fn a_model_that_requests_wait_for_goes_before_one_that_nobody_asks_for() {
     let mut domain = Domain::new(&[("a", &["m0", "m1"])], &[]);
-    domain.missing.insert("m2".into(), MissingModel::Unasked);
+    domain.missing.insert("m2".into(), MissingModel::NotRequested);
     domain.missing.insert("m3".into(), MissingModel::Requested);
     assert_eq!(domain.next(true), Some(("a".into(), "m3".into())));
     domain.missing.remove("m3");
