--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -7,8 +7,8 @@
 use savoryport_core::Name;
 use savoryport_core::node::deployment::EngineClass;
 use savoryport_core::node::placement::{
-    DemandAverage, LoadAllowance, MissingModel, Move, Neighbour, PlacementInput, PlacementServer,
-    WeightSource, next_move, restoring_domain,
+    DemandAverage, LoadAllowance, MissingModel, Move, NeighbourDomain, PlacementInput,
+    PlacementServer, WeightSource, next_move, restoring_domain,
 };
 use savoryport_core::node::registry::BackendServer;
 use smallvec::SmallVec;
@@ -130,7 +130,7 @@
     holders: &'a HashMap<Name, Vec<Name>>,
     missing: &'a BTreeMap<Name, MissingModel>,
     demand: &'a HashMap<Name, f64>,
-    neighbours: &'a [Neighbour],
+    neighbours: &'a [NeighbourDomain],
 }
 
 impl Planner {
@@ -239,7 +239,12 @@
 }
 
 /// Returns the other failure domains in the region of one, with their demand and copies.
-fn neighbours(cx: &NodeContext, view: &View, service: &Name, domain: &Name) -> Vec<Neighbour> {
+fn neighbours(
+    cx: &NodeContext,
+    view: &View,
+    service: &Name,
+    domain: &Name,
+) -> Vec<NeighbourDomain> {
     let region = cx.settings.region_of(domain);
     let others = engine_domains(view, service).into_iter().filter(|other| other != domain);
     let near = others.filter(|other| region.is_some() && cx.settings.region_of(other) == region);
@@ -251,7 +256,7 @@
         for model in servers.flat_map(|server| &server.models) {
             *copies.entry(model.name.clone()).or_default() += 1;
         }
-        Neighbour { demand: cx.hub.demand_of(&other, cx.now()), domain: other, copies }
+        NeighbourDomain { demand: cx.hub.demand_of(&other, cx.now()), domain: other, copies }
     })
     .collect()
 }
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -110,7 +110,7 @@
     /// Work by model in servers' worth that callers of this domain ask for.
     pub demand: &'a HashMap<Name, f64>,
     /// The other domains of the region.
-    pub neighbours: &'a [Neighbour],
+    pub neighbours: &'a [NeighbourDomain],
     /// Whether the weight store may be asked now.
     pub may_use_store: bool,
     /// The present time.
@@ -119,7 +119,7 @@
 
 /// Another failure domain of the region, whose servers are nearly as good as this domain's.
 #[derive(Debug, Clone, Default)]
-pub struct Neighbour {
+pub struct NeighbourDomain {
     /// Its name.
     pub domain: Name,
     /// Work by model in servers' worth that its callers ask for.
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -13,7 +13,7 @@
 use savoryport_core::node::leadership::Leadership;
 use savoryport_core::node::load::{LoadTracker, ServerLoad};
 use savoryport_core::node::placement::{
-    DemandAverage, LoadAllowance, MissingModel, Neighbour, PlacementInput, PlacementServer,
+    DemandAverage, LoadAllowance, MissingModel, NeighbourDomain, PlacementInput, PlacementServer,
     WeightSource, next_move, protected_holder, restoring_domain,
 };
 use savoryport_core::node::prefix::PrefixCacheIndex;
@@ -384,7 +384,7 @@
     holders: HashMap<Name, Vec<Name>>,
     missing: BTreeMap<Name, MissingModel>,
     demand: HashMap<Name, f64>,
-    neighbours: Vec<Neighbour>,
+    neighbours: Vec<NeighbourDomain>,
     loaded_at: HashMap<Name, Instant>,
 }
 
@@ -475,10 +475,10 @@
         let mut domain = Domain::new(&[("a", &["m0", "m1"])], &["m2"]);
         domain.name = (*own).clone();
         domain.demand.clone_from(&asked);
-        let others = domains.iter().filter(|name| name != own).map(|name| Neighbour {
+        let others = domains.iter().filter(|name| name != own).map(|name| NeighbourDomain {
             domain: name.clone(),
             demand: asked.clone(),
-            ..Neighbour::default()
+            ..NeighbourDomain::default()
         });
         domain.neighbours = others.collect();
         domain.next(true).is_some()
@@ -490,10 +490,10 @@
 fn a_copy_in_the_next_domain_of_the_region_serves_a_first_request_here() {
     let mut domain = Domain::new(&[("a", &["m0", "m1"])], &["m2"]);
     domain.demand.insert("m2".into(), 0.2);
-    domain.neighbours = vec![Neighbour {
+    domain.neighbours = vec![NeighbourDomain {
         domain: "north".into(),
         copies: HashMap::from([("m2".into(), 1)]),
-        ..Neighbour::default()
+        ..NeighbourDomain::default()
     }];
     assert_eq!(domain.next(true), None);
     domain.demand.insert("m2".into(), 0.6);
