--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -183,7 +183,7 @@
             }
             allowance
         });
-        let may_use_store = allowance.may_begin(now);
+        let store_load_allowed = allowance.may_begin(now);
         let no_loads = HashMap::new();
         let options: Vec<PlacementServer<'_>> = servers
             .iter()
@@ -221,7 +221,7 @@
             domain: &desk.domain,
             demand,
             neighbours,
-            may_use_store,
+            store_load_allowed,
             now,
         };
         next_move(&input)
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -112,7 +112,7 @@
     /// The other domains of the region.
     pub neighbours: &'a [NeighbourDomain],
     /// Whether the weight store may be asked now.
-    pub may_use_store: bool,
+    pub store_load_allowed: bool,
     /// The present time.
     pub now: Instant,
 }
@@ -252,7 +252,7 @@
     let mut best: Option<(f64, Move)> = None;
     for server in options {
         let source = weight_source(server.server, model);
-        if source == WeightSource::Store && !input.may_use_store {
+        if source == WeightSource::Store && !input.store_load_allowed {
             continue;
         }
         let Some((unload, lost)) = victims(input, copies, server, spec) else { continue };
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -410,14 +410,14 @@
         }
     }
 
-    fn next(&self, may_use_store: bool) -> Option<(Name, Name)> {
-        self.next_beside(may_use_store, &BTreeMap::new())
+    fn next(&self, store_load_allowed: bool) -> Option<(Name, Name)> {
+        self.next_beside(store_load_allowed, &BTreeMap::new())
     }
 
     /// Returns the next load while so many requests use each model.
     fn next_beside(
         &self,
-        may_use_store: bool,
+        store_load_allowed: bool,
         in_use: &BTreeMap<Name, u32>,
     ) -> Option<(Name, Name)> {
         let class = class();
@@ -442,7 +442,7 @@
             domain: &self.name,
             demand: &self.demand,
             neighbours: &self.neighbours,
-            may_use_store,
+            store_load_allowed,
             now: Instant::now(),
         };
         let chosen = next_move(&input)?;
