--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -200,7 +200,7 @@
                     }
                 }
                 let in_use = ledger.requests_by_model();
-                let is_open =
+                let accepts_orders =
                     moving.is_none() && ledger.expected_orders().is_some() && !ledger.is_busy(now);
                 Some(PlacementServer {
                     server,
@@ -208,7 +208,7 @@
                     in_use,
                     adapter_requests: ledger.adapter_requests(),
                     free_mb: ledger.free_mb(class),
-                    is_open,
+                    accepts_orders,
                     loaded_at: self.loaded_at.get(&server.id).unwrap_or(&no_loads),
                 })
             })
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -80,7 +80,7 @@
     /// Free accelerator memory in MB.
     pub free_mb: f64,
     /// Whether an order may be given now.
-    pub is_open: bool,
+    pub accepts_orders: bool,
     /// When each copy was ordered, where this node ordered it.
     pub loaded_at: &'a HashMap<Name, Instant>,
 }
@@ -247,7 +247,7 @@
     value: f64,
 ) -> Option<Move> {
     let spec = input.class.models.get(model)?;
-    let options = input.servers.iter().filter(|server| server.is_open);
+    let options = input.servers.iter().filter(|server| server.accepts_orders);
     let options = options.filter(|server| !server.models.contains(model));
     let mut best: Option<(f64, Move)> = None;
     for server in options {
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -430,7 +430,7 @@
                 in_use: in_use.clone(),
                 adapter_requests: 0,
                 free_mb: class.memory_mb - 70_000.0 * server.models.len() as f64,
-                is_open: true,
+                accepts_orders: true,
                 loaded_at: &self.loaded_at,
             })
             .collect();
