--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -199,13 +199,13 @@
                         models.push(moving.load.clone());
                     }
                 }
-                let in_use = ledger.requests_by_model();
+                let requests_by_model = ledger.requests_by_model();
                 let accepts_orders =
                     moving.is_none() && ledger.expected_orders().is_some() && !ledger.is_busy(now);
                 Some(PlacementServer {
                     server,
                     models,
-                    in_use,
+                    requests_by_model,
                     adapter_requests: ledger.adapter_requests(),
                     free_mb: ledger.free_mb(class),
                     accepts_orders,
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -74,7 +74,7 @@
     /// The models that it holds or is loading, by the ledger.
     pub models: SmallVec<[Name; 4]>,
     /// Requests under way by model.
-    pub in_use: BTreeMap<Name, u32>,
+    pub requests_by_model: BTreeMap<Name, u32>,
     /// Requests under way that use an adapter.
     pub adapter_requests: u32,
     /// Free accelerator memory in MB.
@@ -256,7 +256,9 @@
             continue;
         }
         let Some((unload, lost)) = victims(input, copies, server, spec) else { continue };
-        let is_used = |model: &Name| server.in_use.get(model).is_some_and(|requests| *requests > 0);
+        let is_used = |model: &Name| {
+            server.requests_by_model.get(model).is_some_and(|requests| *requests > 0)
+        };
         let drain = if unload.iter().any(is_used) { DRAIN_SECONDS } else { 0.0 };
         if lost * GAIN_FACTOR > value {
             continue;
@@ -329,7 +331,7 @@
 
 /// Returns what it costs that a model's requests have to end before it can be dropped.
 fn drain_cost(server: &PlacementServer<'_>, model: &Name) -> f64 {
-    f64::from(server.in_use.get(model).copied().unwrap_or(0)) * DRAIN_COST
+    f64::from(server.requests_by_model.get(model).copied().unwrap_or(0)) * DRAIN_COST
 }
 
 fn may_drop(input: &PlacementInput<'_>, server: &PlacementServer<'_>, model: &Name) -> bool {
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -418,7 +418,7 @@
     fn next_beside(
         &self,
         store_load_allowed: bool,
-        in_use: &BTreeMap<Name, u32>,
+        requests_by_model: &BTreeMap<Name, u32>,
     ) -> Option<(Name, Name)> {
         let class = class();
         let servers: Vec<PlacementServer<'_>> = self
@@ -427,7 +427,7 @@
             .map(|server| PlacementServer {
                 server,
                 models: server.models.iter().map(|model| model.name.clone()).collect(),
-                in_use: in_use.clone(),
+                requests_by_model: requests_by_model.clone(),
                 adapter_requests: 0,
                 free_mb: class.memory_mb - 70_000.0 * server.models.len() as f64,
                 accepts_orders: true,
