--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -7,7 +7,7 @@
 use savoryport_core::Name;
 use savoryport_core::node::deployment::EngineClass;
 use savoryport_core::node::placement::{
-    DemandAverage, LoadAllowance, MissingModel, Move, NeighbourDomain, PlacementInput,
+    DemandAverage, LoadRateLimiter, MissingModel, Move, NeighbourDomain, PlacementInput,
     PlacementServer, WeightSource, next_move, restoring_domain,
 };
 use savoryport_core::node::registry::BackendServer;
@@ -32,7 +32,7 @@
 pub struct Planner {
     /// What callers of the domain ask for.
     pub demand: DemandAverage,
-    allowance: Option<LoadAllowance>,
+    allowance: Option<LoadRateLimiter>,
     /// Models that no server holds, and since when.
     missing_since: HashMap<Name, Instant>,
     /// Models that requests wait for, and since when.
@@ -177,7 +177,7 @@
         let window = Duration::from_secs_f64(cx.settings.load_window_s);
         let domains = cx.settings.failure_domains.len();
         let allowance = self.allowance.get_or_insert_with(|| {
-            let mut allowance = LoadAllowance::new(class.loads_per_s, window, domains);
+            let mut allowance = LoadRateLimiter::new(class.loads_per_s, window, domains);
             if !cx.settings.first_start {
                 allowance.assume_used(now);
             }
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -360,13 +360,13 @@
 /// The bound counts the loads that begin within a window over all servers. Each domain takes an equal
 /// part, so no message is needed for a load.
 #[derive(Debug, Clone)]
-pub struct LoadAllowance {
+pub struct LoadRateLimiter {
     window: Duration,
     most: usize,
     begun: Vec<Instant>,
 }
 
-impl LoadAllowance {
+impl LoadRateLimiter {
     /// Starts with the part of one of `domains` domains.
     pub fn new(loads_per_s: f64, window: Duration, domains: usize) -> Self {
         let total = loads_per_s * window.as_secs_f64();
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -13,7 +13,7 @@
 use savoryport_core::node::leadership::Leadership;
 use savoryport_core::node::load::{LoadTracker, ServerLoad};
 use savoryport_core::node::placement::{
-    DemandAverage, LoadAllowance, MissingModel, NeighbourDomain, PlacementInput, PlacementServer,
+    DemandAverage, LoadRateLimiter, MissingModel, NeighbourDomain, PlacementInput, PlacementServer,
     WeightSource, next_move, protected_holder, restoring_domain,
 };
 use savoryport_core::node::prefix::PrefixCacheIndex;
@@ -563,8 +563,8 @@
 fn loads_of_all_domains_together_stay_within_the_weight_stores_rate() {
     let (rate, window, domains) = (2.1, Duration::from_secs(5), 3);
     let now = Instant::now();
-    let mut allowances: Vec<LoadAllowance> =
-        (0..domains).map(|_| LoadAllowance::new(rate, window, domains)).collect();
+    let mut allowances: Vec<LoadRateLimiter> =
+        (0..domains).map(|_| LoadRateLimiter::new(rate, window, domains)).collect();
     let mut begun: Vec<Instant> = Vec::new();
     for step in 0..400 {
         let at = now + ms(50 * step);
@@ -584,7 +584,7 @@
 #[test]
 fn a_new_holder_counts_the_window_as_used() {
     let now = Instant::now();
-    let mut allowance = LoadAllowance::new(2.1, Duration::from_secs(5), 3);
+    let mut allowance = LoadRateLimiter::new(2.1, Duration::from_secs(5), 3);
     allowance.assume_used(now);
     assert!(!allowance.may_begin(now + ms(4_900)));
     assert!(allowance.may_begin(now + ms(5_000)));
