--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -179,7 +179,7 @@
         let allowance = self.allowance.get_or_insert_with(|| {
             let mut allowance = LoadRateLimiter::new(class.loads_per_s, window, domains);
             if !cx.settings.first_start {
-                allowance.assume_used(now);
+                allowance.assume_exhausted(now);
             }
             allowance
         });
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -375,7 +375,7 @@
     }
 
     /// Counts the window as used up, since a former holder may have used it.
-    pub fn assume_used(&mut self, now: Instant) {
+    pub fn assume_exhausted(&mut self, now: Instant) {
         self.begun = vec![now; self.most];
     }
 
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -585,7 +585,7 @@
 fn a_new_holder_counts_the_window_as_used() {
     let now = Instant::now();
     let mut allowance = LoadRateLimiter::new(2.1, Duration::from_secs(5), 3);
-    allowance.assume_used(now);
+    allowance.assume_exhausted(now);
     assert!(!allowance.may_begin(now + ms(4_900)));
     assert!(allowance.may_begin(now + ms(5_000)));
 }
