--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -183,7 +183,7 @@
             }
             allowance
         });
-        let store_load_allowed = allowance.may_begin(now);
+        let store_load_allowed = allowance.may_start_load(now);
         let no_loads = HashMap::new();
         let options: Vec<PlacementServer<'_>> = servers
             .iter()
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -380,7 +380,7 @@
     }
 
     /// Returns whether a load may begin.
-    pub fn may_begin(&mut self, now: Instant) -> bool {
+    pub fn may_start_load(&mut self, now: Instant) -> bool {
         let window = self.window;
         self.begun.retain(|at| now.saturating_duration_since(*at) < window);
         self.begun.len() < self.most
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -569,7 +569,7 @@
     for step in 0..400 {
         let at = now + ms(50 * step);
         for allowance in &mut allowances {
-            if allowance.may_begin(at) {
+            if allowance.may_start_load(at) {
                 allowance.begin(at);
                 begun.push(at);
             }
@@ -586,8 +586,8 @@
     let now = Instant::now();
     let mut allowance = LoadRateLimiter::new(2.1, Duration::from_secs(5), 3);
     allowance.assume_exhausted(now);
-    assert!(!allowance.may_begin(now + ms(4_900)));
-    assert!(allowance.may_begin(now + ms(5_000)));
+    assert!(!allowance.may_start_load(now + ms(4_900)));
+    assert!(allowance.may_start_load(now + ms(5_000)));
 }
 
 #[test]
