--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -231,7 +231,7 @@
         if chosen.source == WeightSource::Store
             && let Some(allowance) = &mut self.allowance
         {
-            allowance.begin(now);
+            allowance.record_load(now);
         }
         let loaded = self.loaded_at.entry(chosen.server.clone()).or_default();
         loaded.insert(chosen.load.clone(), now);
--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -387,7 +387,7 @@
     }
 
     /// Counts a load.
-    pub fn begin(&mut self, now: Instant) {
+    pub fn record_load(&mut self, now: Instant) {
         self.begun.push(now);
     }
 }
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -570,7 +570,7 @@
         let at = now + ms(50 * step);
         for allowance in &mut allowances {
             if allowance.may_start_load(at) {
-                allowance.begin(at);
+                allowance.record_load(at);
                 begun.push(at);
             }
         }
