--- a/savoryport/src/node/duty.rs
+++ b/savoryport/src/node/duty.rs
@@ -116,7 +116,7 @@
                 };
                 self.held_before.insert(domain.clone());
                 let mut duty = Leadership::new(time_to_live);
-                duty.won(revision, asked_at, cx.lease_clock.now(), hand_over);
+                duty.on_acquired(revision, asked_at, cx.lease_clock.now(), hand_over);
                 log::info!(domain = &**domain, token = revision, hand_over_ms = hand_over.as_millis() as u64; "duty taken");
                 let desk = cx.desks.open(cx, Desk::new(domain.clone(), lease, duty));
                 cx.fleet.update(|state| state.set_holder(domain, Some(holder)));
--- a/savoryport_core/src/node/leadership.rs
+++ b/savoryport_core/src/node/leadership.rs
@@ -24,7 +24,7 @@
 
     /// Notes that the duty was won by a write sent at `asked_at`. Orders start after `hand_over`,
     /// which is zero where nobody can have held it before.
-    pub fn won(
+    pub fn on_acquired(
         &mut self,
         fencing_token: u64,
         asked_at: Instant,
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -339,7 +339,7 @@
 fn a_holder_waits_a_whole_turn_and_stops_before_its_lease_can_lapse() {
     let (now, lease, turn) = (Instant::now(), ms(2_000), ms(3_000));
     let mut duty = Leadership::new(lease);
-    duty.won(41, now, now, turn);
+    duty.on_acquired(41, now, now, turn);
     assert_eq!(duty.active_token(now + ms(100)), None);
     for step in 1..=4 {
         duty.renewed(now + ms(700 * step));
@@ -353,7 +353,7 @@
 fn a_thawed_holder_gives_no_order() {
     let (now, lease) = (Instant::now(), ms(2_000));
     let mut duty = Leadership::new(lease);
-    duty.won(41, now, now, Duration::ZERO);
+    duty.on_acquired(41, now, now, Duration::ZERO);
     assert_eq!(duty.active_token(now), Some(41));
     assert_eq!(duty.active_token(now + Duration::from_secs(6)), None);
 }
