--- a/savoryport/src/node/desk.rs
+++ b/savoryport/src/node/desk.rs
@@ -153,7 +153,7 @@
 
     /// Notes a renewal that was sent at this time of the lease clock.
     pub fn renewed(&self, asked_at: Instant) {
-        self.duty.lock().expect("no holder panics").renewed(asked_at);
+        self.duty.lock().expect("no holder panics").on_renewed(asked_at);
     }
 
     /// Returns the id of the store's lease.
--- a/savoryport_core/src/node/leadership.rs
+++ b/savoryport_core/src/node/leadership.rs
@@ -38,7 +38,7 @@
     }
 
     /// Notes a renewal that was sent at `asked_at`.
-    pub fn renewed(&mut self, asked_at: Instant) {
+    pub fn on_renewed(&mut self, asked_at: Instant) {
         self.lease.renewed(asked_at);
     }
 
--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -342,7 +342,7 @@
     duty.on_acquired(41, now, now, turn);
     assert_eq!(duty.active_token(now + ms(100)), None);
     for step in 1..=4 {
-        duty.renewed(now + ms(700 * step));
+        duty.on_renewed(now + ms(700 * step));
     }
     assert_eq!(duty.active_token(now + ms(3_100)), Some(41));
     // The last renewal was sent at 2,800 ms, so the store may give the duty away at 4,800 ms.
