--- a/savoryport/src/node/desk.rs
+++ b/savoryport/src/node/desk.rs
@@ -68,7 +68,7 @@
     /// Closes a desk: no order leaves it any more.
     pub fn close(&self, desk: &Desk) {
         desk.cancel.cancel();
-        desk.duty.lock().expect("no holder panics").lost();
+        desk.duty.lock().expect("no holder panics").on_lost();
         self.0.lock().expect("no holder panics").remove(&desk.domain);
     }
 
--- a/savoryport_core/src/node/leadership.rs
+++ b/savoryport_core/src/node/leadership.rs
@@ -43,7 +43,7 @@
     }
 
     /// Notes that the duty is lost or given up.
-    pub fn lost(&mut self) {
+    pub fn on_lost(&mut self) {
         self.lease.lost();
         self.acts_from = None;
     }
