--- a/savoryport_core/src/node/mod.rs
+++ b/savoryport_core/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! The decisions of a node that serves callers on a platform with a table of routes.
+//! The decisions of a node, which routes callers' requests to backend servers by a table of routes.
 //!
-//! Each module answers one load pattern and does no IO; `docs/DESIGN.md` describes how the node
-//! carries the decisions out.
+//! Each module makes the decisions for one load pattern and performs no I/O; `docs/DESIGN.md`
+//! describes how the node acts on them.
 
 pub mod admission;
 pub mod deployment;
--- a/savoryport_core/src/node/retry_budget.rs
+++ b/savoryport_core/src/node/retry_budget.rs
@@ -1,19 +1,20 @@
-//! A bound on repeats, so that retries never become the load that causes them.
+//! A retry budget, so that retries never become the overload that causes further retries.
 //!
-//! The bound holds for all nodes together. Each node takes an equal part of the fixed allowance and
-//! earns the rest with its own requests, so no message is needed for a retry: the sum of the parts
-//! stays within the bound in every window.
+//! The bound on retries holds for all nodes together. Each node gets an equal part of the fixed
+//! allowance, and adds a share of a retry to its budget with each of its own requests. Nodes
+//! therefore need no messages to agree on a retry: the sum of their parts stays within the bound in
+//! every window.
 
 use std::collections::HashMap;
 
 use crate::Name;
 
-/// The bound on repeats for one service over all nodes.
+/// The bound on the retries of one service, over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBound {
-    /// Repeats allowed for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Repeats allowed besides.
+    /// Retries allowed in addition, whatever the number of requests.
     pub extra: f64,
 }
 
@@ -22,44 +23,44 @@
 pub struct RetryBudget {
     bound: RetryBound,
     nodes: usize,
-    left: HashMap<Name, f64>,
+    available: HashMap<Name, f64>,
 }
 
 impl RetryBudget {
-    /// The share of the bound that is used; the rest covers nodes that come and go.
+    /// The share of the bound that is used; the rest is a margin for nodes that join and leave.
     const USED_SHARE: f64 = 0.8;
 
-    /// Starts with a full allowance among `nodes` nodes.
+    /// Creates the budget of one of `nodes` nodes, with its full part of the allowance.
     pub fn new(bound: RetryBound, nodes: usize) -> Self {
-        Self { bound, nodes: nodes.max(1), left: HashMap::new() }
+        Self { bound, nodes: nodes.max(1), available: HashMap::new() }
     }
 
-    /// Takes the number of nodes that share the bound.
+    /// Sets the number of nodes that share the bound.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.nodes = nodes.max(1);
     }
 
-    /// Notes the first send of a request.
+    /// Adds the share of a retry that a request allows. Called when the request is first sent.
     pub fn on_request(&mut self, service: &Name) {
         let (cap, ratio) = (self.cap(), self.bound.ratio * Self::USED_SHARE);
-        let left = self.left.entry(service.clone()).or_insert(cap);
-        *left = (*left + ratio).min(cap);
+        let available = self.available.entry(service.clone()).or_insert(cap);
+        *available = (*available + ratio).min(cap);
     }
 
-    /// Takes one repeat from the budget; returns whether there was one.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn try_take(&mut self, service: &Name) -> bool {
         let cap = self.cap();
-        let left = self.left.entry(service.clone()).or_insert(cap);
-        let may = *left >= 1.0;
-        if may {
-            *left -= 1.0;
+        let available = self.available.entry(service.clone()).or_insert(cap);
+        let allowed = *available >= 1.0;
+        if allowed {
+            *available -= 1.0;
         }
-        may
+        allowed
     }
 
-    /// Returns whether a repeat could be taken now.
+    /// Returns whether a retry could be taken now.
     pub fn can_retry(&self, service: &str) -> bool {
-        self.left.get(service).copied().unwrap_or(self.cap()) >= 1.0
+        self.available.get(service).copied().unwrap_or(self.cap()) >= 1.0
     }
 
     fn cap(&self) -> f64 {
