--- a/savoryport_core/src/node/deployment.rs
+++ b/savoryport_core/src/node/deployment.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: which requests there are, and which services answer them.
+//! The operators' configuration: the routes of requests and the services that answer them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 
 use crate::Name;
 
-/// What may be repeated of a request.
+/// Whether and how a request may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// Runs at most once.
+    /// The request runs at most once.
     NonIdempotent,
-    /// Answered by a stream of events, which may go on at another server if `resumable`.
+    /// The response is a stream of events.
     Stream {
-        /// Whether a broken stream may go on elsewhere.
+        /// Whether a broken stream may be resumed at another server.
         resumable: bool,
     },
 }
 
 impl RequestKind {
-    /// Returns whether the request may run a second time after it may have run once.
+    /// Returns whether the request may be sent again when it may have run already.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
@@ -39,73 +39,74 @@
 pub struct Route {
     /// The route's name in logs and metrics.
     pub name: Name,
-    /// The host that callers name.
+    /// The host that callers' requests name.
     pub host: Name,
-    /// The beginning of the path, with a slash at both ends.
+    /// The prefix of the path, with a slash at both ends.
     pub path_prefix: Name,
-    /// What may be repeated.
+    /// Whether and how its requests may be retried.
     pub kind: RequestKind,
-    /// The longest time that a caller is kept waiting.
+    /// The longest time until a request is answered.
     pub timeout: Duration,
-    /// The time to the answer, or to the first event, that callers expect.
+    /// The time to the response, or to the first event of a stream, that callers expect.
     pub target_latency: Duration,
-    /// The rank of work; 0 is the most urgent.
+    /// The rank of its requests; 0 is the most urgent.
     pub rank: u8,
-    /// The most servers to which one request is sent.
+    /// The largest number of servers to which one request is sent.
     pub max_attempts: u32,
-    /// The services that answer, with their weights.
+    /// The services that answer its requests, with their weights.
     pub services: SmallVec<[(Name, u32); 2]>,
 }
 
 impl Route {
-    /// Chooses a service by weight; `draw` is uniform below 2^64.
-    pub fn choose_service(&self, draw: u64) -> Option<&Name> {
+    /// Chooses a service by weight; `random` is uniform below 2^64.
+    pub fn choose_service(&self, random: u64) -> Option<&Name> {
         let total: u64 = self.services.iter().map(|(_, weight)| u64::from(*weight)).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut offset = random.checked_rem(total)?;
         self.services.iter().find_map(|(service, weight)| {
             let weight = u64::from(*weight);
-            if left < weight {
+            if offset < weight {
                 return Some(service);
             }
-            left -= weight;
+            offset -= weight;
             None
         })
     }
 }
 
-/// A model that the engines of a service can hold.
+/// A model that the engines of a service can load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelSpec {
     /// The model's name.
     pub name: Name,
-    /// Memory for its weights in MB.
+    /// The accelerator memory for its weights, in MB.
     pub memory_mb: f64,
-    /// The time to load it from the weight store.
+    /// The time to load its weights from the weight store.
     pub store_load_time: Duration,
-    /// The time to load it from the server's disk.
+    /// The time to load its weights from the server's disk.
     pub disk_load_time: Duration,
-    /// The time to load it from the server's host memory.
+    /// The time to load its weights from the server's host memory.
     pub memory_load_time: Duration,
-    /// Memory for one of its adapters in MB.
+    /// The accelerator memory for one of its adapters, in MB.
     pub adapter_mb: f64,
 }
 
-/// What the engines of a service have in common.
+/// The properties that all engines of a service have in common.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineClass {
-    /// Requests that run at once.
+    /// The number of requests that a server runs at once.
     pub slots: u32,
-    /// Tokens that fit into the cache of a server.
+    /// The capacity of a server's KV cache, in tokens.
     pub cache_tokens: u64,
-    /// Memory for weights and adapters in MB.
+    /// The accelerator memory for weights and adapters, in MB.
     pub memory_mb: f64,
-    /// Adapters that a server holds at most.
+    /// The largest number of adapters that a server holds at once.
     pub adapter_capacity: usize,
-    /// Loads from the weight store a second over all servers.
+    /// The bound on loads from the weight store, per second over all servers.
     pub loads_per_s: f64,
-    /// Tokens in one event of a stream.
+    /// The number of tokens in one event of a stream.
     pub tokens_per_event: u32,
-    /// Milliseconds to copy one cached token from another server, where engines do that.
+    /// The time to copy one cached token from another server's KV cache, in milliseconds; none
+    /// where engines cannot copy.
     pub copy_ms_per_token: Option<f64>,
     /// The models, by name.
     pub models: BTreeMap<Name, ModelSpec>,
@@ -116,40 +117,40 @@
 pub struct Service {
     /// The service's name.
     pub name: Name,
-    /// Connections that a server accepts from all callers together.
+    /// The number of connections that a server accepts, from all nodes together.
     pub connection_limit: u32,
-    /// Set where the servers are model engines.
+    /// The engines' properties, where the servers are model engines.
     pub engine: Option<EngineClass>,
 }
 
-/// What a caller may send.
+/// Bounds on what a caller may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The longest head in bytes.
+    /// The size limit of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// The longest body in bytes.
+    /// The size limit of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// The time for the head of a request.
+    /// The time in which the head of a request must arrive.
     pub header_timeout: Duration,
-    /// The time that a connection may stay without a request.
+    /// The time after which a connection without a request is closed.
     pub idle_timeout: Duration,
 }
 
 /// One accepted version of the operators' configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
-    /// The version, which only rises.
+    /// The version, which only increases.
     pub version: u64,
-    /// Routes by host, the longest prefix first.
+    /// Routes by host, those with the longest path prefix first.
     routes: BTreeMap<Name, Vec<Route>>,
-    /// Services by name.
+    /// The services, by name.
     pub services: BTreeMap<Name, Service>,
-    /// Bounds on what callers send.
+    /// Bounds on what callers may send.
     pub limits: CallerLimits,
 }
 
 impl Deployment {
-    /// Puts a version together.
+    /// Creates a version from its parts and indexes the routes by host.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -166,7 +167,7 @@
         Self { version, routes: by_host, services, limits }
     }
 
-    /// Returns the route of a request: the longest prefix of its path among the host's routes.
+    /// Returns the route of a request: the one of its host with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes.get(host)?.iter().find(|route| path.starts_with(&*route.path_prefix))
     }
@@ -176,7 +177,7 @@
         self.routes.contains_key(host)
     }
 
-    /// Returns the engines' specification of a model, with the service that serves it.
+    /// Returns the specification of a model of a service.
     pub fn model(&self, service: &str, model: &str) -> Option<&ModelSpec> {
         self.services.get(service)?.engine.as_ref()?.models.get(model)
     }
--- a/savoryport_core/src/node/registry.rs
+++ b/savoryport_core/src/node/registry.rs
@@ -1,4 +1,4 @@
-//! Backend servers as they register themselves, and what is believed of each.
+//! The backend servers, as their entries in the registry describe them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,50 +13,51 @@
         pub name: Name,
         /// The version of its weights.
         pub version: u64,
-        /// The adapters loaded for it.
+        /// The loaded adapters of the model.
         pub adapters: Vec<Name>,
     }
 
-    /// Whether a server takes new work.
+    /// Whether a server accepts new requests.
     pub enum ServerState {
-        /// It does.
+        /// The server accepts new requests.
         Ready,
-        /// It is leaving; it may name the time after which it is gone.
+        /// The server is shutting down and accepts no new requests.
         Draining {
-            /// Milliseconds until it is gone whatever it runs, if it said so.
+            /// The time in milliseconds after which the server is gone even if requests still run,
+            /// if it announced one.
             gone_after_ms: Option<u64>,
         },
     }
 
-    /// What a backend server says of itself in the registry.
+    /// A backend server's entry in the registry.
     pub struct BackendServer {
-        /// The server's id, by which requests name it.
+        /// The server's id, by which requests and orders address it.
         pub id: Name,
         /// The service that it belongs to.
         pub service: Name,
-        /// Where it listens.
+        /// The address that it listens at.
         pub address: SocketAddr,
         /// Its failure domain.
         pub failure_domain: Name,
-        /// Requests that it runs at once.
+        /// The number of requests that it runs at once.
         pub slots: u32,
-        /// Whether it takes new work.
+        /// Whether it accepts new requests.
         pub state: ServerState,
-        /// The time of its start in Unix milliseconds, which tells incarnations apart.
+        /// The time of its start in Unix milliseconds, which identifies its incarnation.
         pub incarnation: u64,
-        /// Models in accelerator memory.
+        /// The models in accelerator memory.
         pub models: Vec<ResidentModel>,
-        /// Whether it carries out an order that keeps it from others.
+        /// Whether it is executing an order and accepts no others meanwhile.
         pub is_busy: bool,
-        /// Models of which host memory keeps a copy.
+        /// The models of which host memory keeps a copy.
         pub in_memory: Vec<Name>,
-        /// Models of which the disk keeps a copy.
+        /// The models of which the disk keeps a copy.
         pub on_disk: Vec<Name>,
     }
 }
 
 impl BackendServer {
-    /// Returns whether the server takes new work.
+    /// Returns whether the server accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.state == ServerState::Ready
     }
@@ -75,12 +76,14 @@
     }
 }
 
-/// How long an entry that vanished while the store was away still counts.
+/// How long an entry that disappeared during an outage of the store still counts.
 ///
-/// Entries of living servers are back within two seconds of the store's return (platform pages).
-pub const RETURN_GRACE: Duration = Duration::from_millis(2_000);
+/// According to the platform's documentation, running servers are registered again within two
+/// seconds after an outage of the store.
+pub const MISSING_GRACE: Duration = Duration::from_millis(2_000);
 
-/// The servers of the registry, through the store's outages.
+/// The servers in the registry. Entries that are lost in an outage of the store are kept for a
+/// while.
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
     servers: BTreeMap<Name, BackendServer>,
@@ -89,7 +92,7 @@
 }
 
 impl Registry {
-    /// Returns a number that rises with each material change.
+    /// Returns a number that increases with each change other than a heartbeat.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -99,7 +102,7 @@
         &self.servers
     }
 
-    /// Takes an entry as it was written; returns whether anything but its heartbeat changed.
+    /// Inserts or replaces an entry; returns whether anything but its heartbeat changed.
     pub fn put(&mut self, server: BackendServer) -> bool {
         self.missing_since.remove(&server.id);
         if self.servers.get(&server.id) == Some(&server) {
@@ -110,20 +113,21 @@
         true
     }
 
-    /// Takes the removal of an entry; returns whether it was known.
+    /// Removes an entry; returns whether it was known.
     pub fn remove(&mut self, id: &str) -> bool {
         self.missing_since.remove(id);
-        let known = self.servers.remove(id).is_some();
-        self.revision += u64::from(known);
-        known
+        let was_known = self.servers.remove(id).is_some();
+        self.revision += u64::from(was_known);
+        was_known
     }
 
-    /// Takes a full listing. An entry that is missing goes at once, or after [`RETURN_GRACE`] when
-    /// the listing follows an outage, in which entries of living servers may have lapsed.
-    pub fn replace(&mut self, listed: Vec<BackendServer>, after_outage: bool, now: Instant) {
-        let known: Vec<Name> = self.servers.keys().cloned().collect();
-        for id in known {
-            if listed.iter().any(|server| server.id == id) {
+    /// Replaces the entries by a full listing. An entry that is not listed is removed at once, or
+    /// after [`MISSING_GRACE`] if the listing follows an outage of the store, in which entries of
+    /// running servers may have expired.
+    pub fn replace(&mut self, listing: Vec<BackendServer>, after_outage: bool, now: Instant) {
+        let known_ids: Vec<Name> = self.servers.keys().cloned().collect();
+        for id in known_ids {
+            if listing.iter().any(|server| server.id == id) {
                 continue;
             }
             if after_outage {
@@ -132,29 +136,29 @@
                 self.remove(&id);
             }
         }
-        for server in listed {
+        for server in listing {
             self.put(server);
         }
     }
 
-    /// Notes a removal that may be due to an outage of the store only.
+    /// Marks an entry as missing whose removal may only be due to an outage of the store.
     pub fn mark_missing(&mut self, id: &str, now: Instant) {
         if self.servers.contains_key(id) {
             self.missing_since.entry(id.into()).or_insert(now);
         }
     }
 
-    /// Drops the entries whose grace is over; returns their ids.
+    /// Removes the entries that have been missing for [`MISSING_GRACE`]; returns their ids.
     pub fn expire(&mut self, now: Instant) -> Vec<Name> {
-        let gone: Vec<Name> = self
+        let expired: Vec<Name> = self
             .missing_since
             .iter()
-            .filter(|(_, since)| now.saturating_duration_since(**since) >= RETURN_GRACE)
+            .filter(|(_, since)| now.saturating_duration_since(**since) >= MISSING_GRACE)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &gone {
+        for id in &expired {
             self.remove(id);
         }
-        gone
+        expired
     }
 }
--- a/savoryport_core/src/node/request.rs
+++ b/savoryport_core/src/node/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, once its head is decoded.
+//! The decoded head of a caller's request.
 
 use std::time::Duration;
 
@@ -7,36 +7,38 @@
 
 use crate::Name;
 
-/// A part of a prompt that other requests may share.
+/// A part of a prompt, which other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The part's id.
+    /// The id that equal parts have in common.
     pub id: u64,
-    /// Its length in tokens.
+    /// The length of the part, in tokens.
     pub tokens: u32,
 }
 
-/// What a request asks of a model engine.
+/// A request to a model engine to generate tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Generation {
-    /// The model.
+    /// The model's name.
     pub model: Name,
-    /// The adapter, if the request names one.
+    /// The adapter's name, if the request uses one.
     pub adapter: Option<Name>,
-    /// Tokens of the prompt.
+    /// The length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens that it generates.
+    /// The largest number of tokens to generate.
     pub output_tokens: u32,
-    /// The prompt's parts in order; the last belongs to the request or its session.
+    /// The prompt's parts in order; the last one is specific to the request or its session.
     pub parts: SmallVec<[PromptPart; 4]>,
 }
 
-/// A prompt's beginning up to one of its parts, as one number for each part.
+/// For each part of a prompt, the key of the prefix that ends with it and the prefix's length in
+/// tokens.
 pub type PrefixKeys = SmallVec<[(u64, u32); 4]>;
 
 impl Generation {
-    /// Returns a key and the tokens up to there for each part. Caches keep a part for one model and
-    /// adapter, and only with all parts before it, so the keys are chained from both.
+    /// Returns the key and the length of each prefix. A cached part is only of use to the same
+    /// model and adapter, and only after the same preceding parts, so each key is a hash of all of
+    /// these.
     pub fn prefix_keys(&self) -> PrefixKeys {
         let adapter = self.adapter.as_deref().unwrap_or_default();
         let seed = xxh3_64_with_seed(self.model.as_bytes(), 0);
@@ -53,15 +55,15 @@
     }
 }
 
-/// What the head of a caller's request says, apart from its route.
+/// The head of a caller's request, apart from what determines its route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The id of this attempt of the caller.
+    /// The id of the caller's attempt.
     pub id: Name,
-    /// How long the caller will wait.
+    /// The time for which the caller waits for the response, if it said so.
     pub deadline: Option<Duration>,
-    /// Set where a model is asked.
+    /// The generation that is asked for, where the request is for a model.
     pub generation: Option<Generation>,
-    /// The last event that the caller has of an earlier stream.
+    /// The id of the last event that the caller received of an earlier stream.
     pub last_event_id: Option<u64>,
 }
