--- a/savoryport_core/src/node/orders.rs
+++ b/savoryport_core/src/node/orders.rs
@@ -1,8 +1,10 @@
-//! What a server's accelerator holds as its order giver knows it, exact to the order.
+//! Orders to load and unload models and adapters, and the contents of a server's accelerator memory
+//! that result from them.
 //!
-//! A server counts the orders that it accepted, and an order names the count that it expects. So the
-//! server compares and swaps: an order that arrives late, twice or from a former holder finds another
-//! count and does nothing. What is needed here is to know the contents that belong to a count.
+//! A server counts the orders that it accepted, and each order names the count that it expects, as
+//! in a compare-and-swap: an order that arrives late, twice or from a former leader meets a
+//! different count and has no effect. The leader therefore tracks which contents belong to which
+//! count.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,35 +14,35 @@
 use crate::Name;
 use crate::node::deployment::EngineClass;
 
-/// An adapter that was asked for this recently is not displaced.
-const ADAPTER_KEEP: Duration = Duration::from_millis(300);
+/// An adapter that was requested more recently than this is not evicted.
+const MIN_ADAPTER_IDLE: Duration = Duration::from_millis(300);
 
 value! {
-    /// What a server is told to do.
+    /// An instruction to a server to load or unload a model or an adapter.
     pub enum Order {
-        /// Bring a model into accelerator memory.
+        /// Loads a model into accelerator memory.
         LoadModel(Name),
-        /// Drop a model and its adapters.
+        /// Unloads a model and its adapters.
         UnloadModel(Name),
-        /// Bring an adapter of a resident model into memory.
+        /// Loads an adapter of a resident model.
         LoadAdapter {
-            /// The model.
+            /// The model that the adapter belongs to.
             model: Name,
-            /// The adapter.
+            /// The adapter's name.
             adapter: Name,
         },
-        /// Drop an adapter.
+        /// Unloads an adapter.
         UnloadAdapter {
-            /// The model.
+            /// The model that the adapter belongs to.
             model: Name,
-            /// The adapter.
+            /// The adapter's name.
             adapter: Name,
         },
     }
 }
 
 impl Order {
-    /// Returns the model that the order is about.
+    /// Returns the model that is loaded or unloaded, or that the adapter belongs to.
     pub fn model(&self) -> &Name {
         match self {
             Self::LoadModel(model)
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Returns the word used in logs and metrics.
+    /// Returns the name of the operation in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::LoadModel(_) => "load-model",
@@ -61,52 +63,52 @@
     }
 }
 
-/// What a server said to an order.
+/// A server's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It carries the order out.
+    /// The server executes the order.
     Accepted,
-    /// What was ordered already holds.
+    /// The server is already in the state that the order asks for.
     AlreadyHolds,
-    /// Another order is in progress, or its count differs.
+    /// Another order is in progress, or the server's count differs from the expected one.
     Conflict,
-    /// It refuses the order for good.
+    /// The server refuses the order, and would refuse it again.
     Rejected,
-    /// No answer came: the order may take effect now or later.
+    /// No answer arrived: the order may have taken effect or may still do so.
     Unanswered,
 }
 
-/// What a server reports of itself.
+/// A server's report of its contents.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
-    /// The time of its start in Unix milliseconds.
+    /// The time of the server's start, in Unix milliseconds.
     pub incarnation: u64,
-    /// Orders that it accepted since its start.
+    /// The number of orders that the server accepted since its start.
     pub accepted_orders: u64,
     /// Whether an order is in progress.
     pub is_busy: bool,
-    /// Models in memory, with their adapters.
+    /// The models in accelerator memory, with their adapters.
     pub models: BTreeMap<Name, Vec<Name>>,
-    /// Adapters on their way, with their models.
+    /// The adapters that are being loaded, each after its model.
     pub pending_adapters: Vec<(Name, Name)>,
 }
 
-/// Why an order is not given.
+/// The reason why an order cannot be given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum OrderError {
-    /// The contents of the server are not known at present.
-    #[error("the server's contents are not known")]
+    /// The contents of the server are unknown at present.
+    #[error("the contents of the server are unknown")]
     Unknown,
-    /// The server is carrying out a load or an unload of a model.
+    /// The server is loading or unloading a model.
     #[error("another order is in progress")]
     Busy,
-    /// The weights would not fit.
-    #[error("no memory left")]
+    /// The weights do not fit into the free accelerator memory.
+    #[error("not enough free accelerator memory")]
     NoMemory,
-    /// Every place for adapters is taken.
-    #[error("no place for another adapter")]
+    /// The server holds as many adapters as it can.
+    #[error("no free adapter slot")]
     NoAdapterSlot,
-    /// The adapter's model is not there.
+    /// The model that the order needs is not in accelerator memory or not configured.
     #[error("the model is not resident")]
     ModelNotResident,
 }
@@ -114,16 +116,17 @@
 /// The incarnation before the first report.
 const UNKNOWN_INCARNATION: u64 = 0;
 
-/// The contents of one server at a known count of orders.
+/// The contents of one server's accelerator memory, and the count of orders that they belong to.
 #[derive(Debug, Clone, Default)]
 pub struct EngineContents {
     incarnation: u64,
+    /// The count that the contents belong to, if known.
     accepted_orders: Option<u64>,
-    /// The server has accepted at least so many orders; a report with fewer is an old one.
-    floor: u64,
+    /// The number of orders that the server has accepted at least; a report with fewer is stale.
+    min_accepted_orders: u64,
     busy_until: Option<Instant>,
     models: BTreeMap<Name, BTreeMap<Name, AdapterUse>>,
-    /// Requests under way by model.
+    /// The number of requests in flight, by model.
     requests: BTreeMap<Name, u32>,
 }
 
@@ -134,79 +137,84 @@
 }
 
 impl EngineContents {
-    /// Takes a report, which replaces everything; returns whether it did. Reports lag, so one from
-    /// before an order that the server is known to have accepted tells nothing.
+    /// Replaces the contents by those of a report; returns whether it did. Reports can be stale:
+    /// one from before an order that the server is known to have accepted is ignored.
     pub fn apply_report(&mut self, report: &EngineReport, now: Instant) -> bool {
-        let is_same_start = report.incarnation == self.incarnation;
-        if is_same_start && report.accepted_orders < self.floor {
+        let is_same_incarnation = report.incarnation == self.incarnation;
+        if is_same_incarnation && report.accepted_orders < self.min_accepted_orders {
             return false;
         }
-        let fresh = AdapterUse { requests: 0, last_used: now };
-        let known = std::mem::take(&mut self.models);
-        let use_of = |model: &Name, adapter: &Name| {
-            known.get(model).and_then(|adapters| adapters.get(adapter)).copied().unwrap_or(fresh)
+        let unused = AdapterUse { requests: 0, last_used: now };
+        let previous = std::mem::take(&mut self.models);
+        let usage_of = |model: &Name, adapter: &Name| {
+            previous
+                .get(model)
+                .and_then(|adapters| adapters.get(adapter))
+                .copied()
+                .unwrap_or(unused)
         };
         for (model, adapters) in &report.models {
-            let held = adapters.iter().map(|name| (name.clone(), use_of(model, name))).collect();
-            self.models.insert(model.clone(), held);
+            let resident =
+                adapters.iter().map(|name| (name.clone(), usage_of(model, name))).collect();
+            self.models.insert(model.clone(), resident);
         }
         for (model, adapter) in &report.pending_adapters {
             let adapters = self.models.entry(model.clone()).or_default();
-            adapters.insert(adapter.clone(), use_of(model, adapter));
+            adapters.insert(adapter.clone(), usage_of(model, adapter));
         }
         self.incarnation = report.incarnation;
         self.accepted_orders = (!report.is_busy).then_some(report.accepted_orders);
-        self.floor = report.accepted_orders;
+        self.min_accepted_orders = report.accepted_orders;
         self.busy_until = None;
         true
     }
 
-    /// Forgets what the count is; the next order needs a report first.
+    /// Marks the count as unknown; the next order needs a report first.
     pub fn invalidate(&mut self) {
         self.accepted_orders = None;
     }
 
-    /// Returns the count that the next order expects, if the contents are known.
+    /// Returns the count that the next order expects, if it is known.
     pub fn expected_orders(&self) -> Option<u64> {
         self.accepted_orders
     }
 
-    /// Returns the incarnation that the contents belong to.
+    /// Returns the server's incarnation that the contents belong to.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Returns whether the contents are those of another start of the server than this one.
+    /// Returns whether the contents belong to a known incarnation other than this one.
     pub fn is_other_incarnation(&self, incarnation: u64) -> bool {
         self.incarnation != UNKNOWN_INCARNATION && self.incarnation != incarnation
     }
 
-    /// Returns whether the server carries out a load or an unload.
+    /// Returns whether the server is expected to be loading or unloading a model.
     pub fn is_busy(&self, now: Instant) -> bool {
         self.busy_until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether the model is, or is about to be, in memory.
+    /// Returns whether the model is resident or being loaded.
     pub fn holds(&self, model: &str) -> bool {
         self.models.contains_key(model)
     }
 
-    /// Returns whether the adapter is, or is about to be, in memory.
+    /// Returns whether the adapter is resident or being loaded.
     pub fn holds_adapter(&self, model: &str, adapter: &str) -> bool {
         self.models.get(model).is_some_and(|adapters| adapters.contains_key(adapter))
     }
 
-    /// Returns the models in memory.
+    /// Returns the models that are resident or being loaded.
     pub fn models(&self) -> impl Iterator<Item = &Name> {
         self.models.keys()
     }
 
-    /// Returns the adapters in memory with their models.
+    /// Returns the adapters that are resident or being loaded, each after its model.
     pub fn adapters(&self) -> impl Iterator<Item = (&Name, &Name)> {
         self.models.iter().flat_map(|(model, adapters)| adapters.keys().map(move |a| (model, a)))
     }
 
-    /// Returns the memory that is left, in MB.
+    /// Returns the free accelerator memory, in MB.
     pub fn free_mb(&self, class: &EngineClass) -> f64 {
         let used: f64 = self
             .models
@@ -219,7 +227,7 @@
         class.memory_mb - used
     }
 
-    /// Forgets how many requests use each copy, before the present uses are noted.
+    /// Resets the counts of requests to zero, before the current ones are added.
     pub fn clear_uses(&mut self) {
         self.requests.clear();
         for usage in self.models.values_mut().flat_map(BTreeMap::values_mut) {
@@ -227,7 +235,7 @@
         }
     }
 
-    /// Notes that a model, or an adapter of it, is used by so many more requests.
+    /// Adds requests that use a model, or an adapter of it.
     pub fn add_use(&mut self, model: &Name, adapter: Option<&str>, requests: u32, now: Instant) {
         *self.requests.entry(model.clone()).or_default() += requests;
         let adapters = self.models.get_mut(model);
@@ -237,26 +245,27 @@
         }
     }
 
-    /// Returns how many requests use a model, as far as nodes have told.
+    /// Returns the number of requests that use a model, as far as nodes have reported them.
     pub fn requests(&self, model: &str) -> u32 {
         self.requests.get(model).copied().unwrap_or(0)
     }
 
-    /// Returns how many requests use an adapter.
+    /// Returns the number of requests that use any adapter.
     pub fn adapter_requests(&self) -> u32 {
         self.models.values().flat_map(BTreeMap::values).map(|usage| usage.requests).sum()
     }
 
-    /// Returns the requests under way by model.
+    /// Returns the number of requests in flight, by model.
     pub fn requests_by_model(&self) -> BTreeMap<Name, u32> {
         self.requests.clone()
     }
 
-    /// Checks an order against the server's memory and places.
+    /// Checks whether an order can be given: the contents are known, the server is not busy, and a
+    /// load fits into its memory and adapter capacity.
     ///
     /// # Errors
     ///
-    /// Returns what is in the way.
+    /// Returns the reason why the order cannot be given.
     pub fn check(
         &self,
         order: &Order,
@@ -290,18 +299,23 @@
         }
     }
 
-    /// Returns the adapter that makes way for another: the one unused for longest.
+    /// Returns the adapter to evict for another one, after its model: the least recently used of
+    /// those that no request uses.
     pub fn evictable_adapter(&self, now: Instant) -> Option<(Name, Name)> {
-        let all = self.models.iter().flat_map(|(model, adapters)| {
+        let adapters = self.models.iter().flat_map(|(model, adapters)| {
             adapters.iter().map(move |(adapter, usage)| (model, adapter, usage))
         });
-        all.filter(|(_, _, usage)| usage.requests == 0)
-            .filter(|(_, _, usage)| now.saturating_duration_since(usage.last_used) > ADAPTER_KEEP)
+        adapters
+            .filter(|(_, _, usage)| usage.requests == 0)
+            .filter(|(_, _, usage)| {
+                now.saturating_duration_since(usage.last_used) > MIN_ADAPTER_IDLE
+            })
             .min_by_key(|(_, _, usage)| usage.last_used)
             .map(|(model, adapter, _)| (model.clone(), adapter.clone()))
     }
 
-    /// Takes the server's answer; `busy_for` is how long a load of a model is expected to take.
+    /// Applies the server's answer to an order; `busy_for` is the time for which a model's load or
+    /// unload keeps the server busy.
     pub fn apply_answer(
         &mut self,
         order: &Order,
@@ -311,41 +325,42 @@
     ) {
         match answer {
             OrderAnswer::Accepted => {
-                self.count_order();
+                self.count_accepted_order();
                 if let Order::UnloadAdapter { model, adapter } = order {
-                    // Requests still use it, so it keeps its place until they end.
+                    // Requests still use the adapter, so the server keeps it until they end.
                     self.add_use(model, Some(adapter), 1, now);
                     return;
                 }
-                self.take_effect(order, now);
+                self.update_contents(order, now);
                 if matches!(order, Order::LoadModel(_) | Order::UnloadModel(_)) {
                     self.busy_until = Some(now + busy_for);
                 }
             }
             OrderAnswer::AlreadyHolds => {
-                // An unload that is done at once is answered like this and counts.
+                // The server answers an unload that it completes at once in this way, and counts
+                // it.
                 if matches!(order, Order::UnloadModel(_) | Order::UnloadAdapter { .. }) {
-                    self.count_order();
+                    self.count_accepted_order();
                 }
-                self.take_effect(order, now);
+                self.update_contents(order, now);
             }
-            // The same order again settles it: only one of the two finds the expected count.
+            // Sending the same order again is safe: only one of the two meets the expected count.
             OrderAnswer::Unanswered => {}
             OrderAnswer::Conflict | OrderAnswer::Rejected => self.invalidate(),
         }
     }
 
-    /// Notes that the server is done with its load or unload.
+    /// Records that the server has completed its load or unload.
     pub fn clear_busy(&mut self) {
         self.busy_until = None;
     }
 
-    fn count_order(&mut self) {
+    fn count_accepted_order(&mut self) {
         self.accepted_orders = self.accepted_orders.map(|count| count + 1);
-        self.floor = self.accepted_orders.unwrap_or(self.floor);
+        self.min_accepted_orders = self.accepted_orders.unwrap_or(self.min_accepted_orders);
     }
 
-    fn take_effect(&mut self, order: &Order, now: Instant) {
+    fn update_contents(&mut self, order: &Order, now: Instant) {
         match order {
             Order::LoadModel(model) => {
                 self.models.entry(model.clone()).or_default();
