--- a/savoryport_core/src/node/health.rs
+++ b/savoryport_core/src/node/health.rs
@@ -1,7 +1,8 @@
-//! How far each server is trusted, from the outcome of requests alone.
+//! The health of each server, from the outcomes of requests alone.
 //!
-//! Status checks can be wrong either way, so only what requests met counts: servers that reset, hang
-//! or fail part of their requests while their status check is good lose their share of the work.
+//! Status checks can be wrong either way, so only the outcomes of requests count: a server that
+//! resets or stalls connections, or fails part of its requests, gets less work although its status
+//! check passes.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,35 +12,38 @@
 /// The weight of the newest outcome in the running failure rate.
 const NEWEST_WEIGHT: f64 = 0.2;
 
-/// The first pause after a server did not answer at all; doubled with each further time.
+/// The first pause after a server did not answer at all. Each further failure in a row doubles it.
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
 
-/// The longest pause, after which one request tries the server again.
+/// The longest pause. Requests may try the server again after it.
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// What came of one request at a server.
+/// The outcome of one request at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// It answered.
+    /// The server answered.
     Answered,
-    /// It answered with a failure of its own.
+    /// The server answered with an error of its own.
     Failed,
-    /// It could not be reached, broke off or fell silent.
+    /// The server could not be reached, closed the connection early or stopped sending.
     Unreachable,
 }
 
-/// How long a server that refused a request as full gets no further ones of that rank or below.
+/// The time for which a server that refused a request because it is full gets no further requests
+/// of that rank or of less urgent ones.
 const FULL_PAUSE: Duration = Duration::from_millis(150);
 
-/// How long a server's word that it does not hold a model goes before other news.
-const DENIAL_LIFETIME: Duration = Duration::from_millis(1_500);
+/// The time for which a server's statement that a model is not resident takes precedence over other
+/// information.
+const NOT_RESIDENT_LIFETIME: Duration = Duration::from_millis(1_500);
 
-/// Failure rates and pauses by server.
+/// Failure rates, pauses and recent refusals, by server.
 #[derive(Debug, Clone, Default)]
 pub struct HealthTracker {
     servers: HashMap<Name, Health>,
-    /// Models that servers denied to hold, with the incarnation that was believed to be there.
-    denials: HashMap<(Name, Name), (u64, Instant)>,
+    /// Models and adapters that servers stated not to hold, by server and copy. The value is the
+    /// server's incarnation as known then, and the time until which the statement counts.
+    not_resident: HashMap<(Name, Name), (u64, Instant)>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -47,13 +51,13 @@
     failure_rate: f64,
     unreachable_in_a_row: u32,
     paused_until: Option<Instant>,
-    last_heard: Option<Instant>,
-    /// Until when the server is taken for full, and the most urgent rank that it refused.
+    last_active: Option<Instant>,
+    /// The time until which the server counts as full, and the most urgent rank that it refused.
     full: Option<(Instant, u8)>,
 }
 
 impl HealthTracker {
-    /// Takes the outcome of a request.
+    /// Records the outcome of a request.
     pub fn record_outcome(&mut self, server: &Name, outcome: ServerOutcome, now: Instant) {
         let health = self.servers.entry(server.clone()).or_default();
         let failed = if outcome == ServerOutcome::Answered { 0.0 } else { 1.0 };
@@ -68,7 +72,7 @@
         }
     }
 
-    /// Notes that the server refused a request of this rank for want of room.
+    /// Records that the server refused a request of this rank because it is full.
     pub fn record_full(&mut self, server: &Name, rank: u8, now: Instant) {
         let health = self.servers.entry(server.clone()).or_default();
         let most_urgent = match health.full {
@@ -78,14 +82,14 @@
         health.full = Some((now + FULL_PAUSE, most_urgent));
     }
 
-    /// Returns whether the server is taken for full by requests of this rank.
+    /// Returns whether the server counts as full for requests of this rank.
     pub fn is_full(&self, server: &str, rank: u8, now: Instant) -> bool {
         let full = self.servers.get(server).and_then(|health| health.full);
         full.is_some_and(|(until, refused)| now < until && rank >= refused)
     }
 
-    /// Notes that the server said that it does not hold a model or an adapter: it may have started anew,
-    /// which the registry tells only with its next heartbeat.
+    /// Records that the server stated that it does not hold a model or an adapter. It may have
+    /// restarted, which the registry shows only with the server's next heartbeat.
     pub fn record_not_resident(
         &mut self,
         server: &Name,
@@ -93,11 +97,13 @@
         incarnation: u64,
         now: Instant,
     ) {
-        self.denials.retain(|_, (_, until)| now < *until);
-        self.denials.insert((server.clone(), copy), (incarnation, now + DENIAL_LIFETIME));
+        self.not_resident.retain(|_, (_, until)| now < *until);
+        self.not_resident
+            .insert((server.clone(), copy), (incarnation, now + NOT_RESIDENT_LIFETIME));
     }
 
-    /// Returns whether the server denied to hold the model or adapter and nothing newer is known.
+    /// Returns whether this incarnation of the server recently stated that it does not hold the
+    /// model or adapter.
     pub fn is_not_resident(
         &self,
         server: &Name,
@@ -105,33 +111,33 @@
         incarnation: u64,
         now: Instant,
     ) -> bool {
-        let denial = self.denials.get(&(server.clone(), copy.clone()));
-        denial.is_some_and(|(denied, until)| *denied == incarnation && now < *until)
+        let statement = self.not_resident.get(&(server.clone(), copy.clone()));
+        statement.is_some_and(|(stated_by, until)| *stated_by == incarnation && now < *until)
     }
 
-    /// Notes that the server sent something.
+    /// Records that the server sent data.
     pub fn record_activity(&mut self, server: &Name, now: Instant) {
-        self.servers.entry(server.clone()).or_default().last_heard = Some(now);
+        self.servers.entry(server.clone()).or_default().last_active = Some(now);
     }
 
-    /// Returns whether the server sent something to anybody here since then.
+    /// Returns whether the server sent data for any request of this node since then.
     pub fn was_active_since(&self, server: &str, since: Instant) -> bool {
-        let heard = self.servers.get(server).and_then(|health| health.last_heard);
-        heard.is_some_and(|at| at > since)
+        let last_active = self.servers.get(server).and_then(|health| health.last_active);
+        last_active.is_some_and(|at| at > since)
     }
 
-    /// Returns whether the server is left alone for now.
+    /// Returns whether the server is paused after it did not answer.
     pub fn is_paused(&self, server: &str, now: Instant) -> bool {
-        let paused = self.servers.get(server).and_then(|health| health.paused_until);
-        paused.is_some_and(|until| now < until)
+        let paused_until = self.servers.get(server).and_then(|health| health.paused_until);
+        paused_until.is_some_and(|until| now < until)
     }
 
-    /// Returns the running share of requests that failed there.
+    /// Returns the running average of the share of requests that failed at the server.
     pub fn failure_rate(&self, server: &str) -> f64 {
         self.servers.get(server).map_or(0.0, |health| health.failure_rate)
     }
 
-    /// Forgets the servers that `keep` rejects.
+    /// Removes the servers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.servers.retain(|server, _| keep(server));
     }
--- a/savoryport_core/src/node/prefix.rs
+++ b/savoryport_core/src/node/prefix.rs
@@ -1,4 +1,5 @@
-//! Which prompt prefixes each server has probably cached, from the requests that were sent there.
+//! The prompt prefixes that each server has probably cached, from the requests that were sent to
+//! it.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -6,10 +7,11 @@
 use crate::Name;
 use crate::node::request::PrefixKeys;
 
-/// The share of a full cache that is forgotten at once, so that eviction is not run per request.
+/// The share of a full cache that is evicted at once, so that eviction does not run for each
+/// request.
 const EVICTED_SHARE: f64 = 0.2;
 
-/// Cached prefixes by server.
+/// The prefixes that are probably cached, by server.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixCacheIndex {
     servers: HashMap<Name, ServerCache>,
@@ -25,11 +27,11 @@
 #[derive(Debug, Clone, Copy)]
 struct CachedPart {
     tokens: u32,
-    used: Instant,
+    last_used: Instant,
 }
 
 impl PrefixCacheIndex {
-    /// Returns how many of the prompt's tokens the server has probably cached.
+    /// Returns how many of the prompt's first tokens the server has probably cached.
     pub fn cached_tokens(&self, server: &str, incarnation: u64, keys: &PrefixKeys) -> u32 {
         let Some(cache) = self.servers.get(server) else { return 0 };
         if cache.incarnation != incarnation {
@@ -39,7 +41,8 @@
         cached.last().map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// Notes that a server has read a prompt; a cache of `capacity` tokens drops its oldest parts.
+    /// Records that a server has processed a prompt. Beyond `capacity` tokens, the parts that were
+    /// least recently used are evicted.
     pub fn record(
         &mut self,
         server: &Name,
@@ -52,20 +55,20 @@
         if cache.incarnation != incarnation {
             *cache = ServerCache { incarnation, ..ServerCache::default() };
         }
-        let mut before = 0;
+        let mut preceding_tokens = 0;
         for (key, tokens) in keys {
-            let part = CachedPart { tokens: tokens - before, used: now };
+            let part = CachedPart { tokens: tokens - preceding_tokens, last_used: now };
             if cache.parts.insert(*key, part).is_none() {
                 cache.tokens += u64::from(part.tokens);
             }
-            before = *tokens;
+            preceding_tokens = *tokens;
         }
         if cache.tokens > capacity {
             cache.evict(capacity);
         }
     }
 
-    /// Forgets the servers that `keep` rejects.
+    /// Removes the servers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.servers.retain(|server, _| keep(server));
     }
@@ -73,12 +76,12 @@
 
 impl ServerCache {
     fn evict(&mut self, capacity: u64) {
-        let goal = (capacity as f64 * (1.0 - EVICTED_SHARE)) as u64;
-        let mut by_age: Vec<(Instant, u64)> =
-            self.parts.iter().map(|(key, part)| (part.used, *key)).collect();
-        by_age.sort_unstable();
-        for (_, key) in by_age {
-            if self.tokens <= goal {
+        let target_tokens = (capacity as f64 * (1.0 - EVICTED_SHARE)) as u64;
+        let mut by_last_use: Vec<(Instant, u64)> =
+            self.parts.iter().map(|(key, part)| (part.last_used, *key)).collect();
+        by_last_use.sort_unstable();
+        for (_, key) in by_last_use {
+            if self.tokens <= target_tokens {
                 return;
             }
             if let Some(part) = self.parts.remove(&key) {
