--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -1,8 +1,12 @@
-//! Decides which model a failure domain loads next, and which copy makes way.
+//! Decides which model a failure domain loads next, and which copies are evicted for it.
 //!
-//! Load pattern: demand that moves to models with a single copy, while the weight store serves only a
-//! few loads a second. Copies follow the work that callers of the region ask for, in each domain by its
-//! part; the last copy of a model is never dropped, so that every model stays reachable.
+//! Load pattern: demand that shifts to models with a single copy, while the weight store serves
+//! only a few loads a second. The number of copies follows the demand of the region's callers, and
+//! each domain holds its part of them. The last copy of a model is never evicted, so that every
+//! model stays reachable.
+//!
+//! Demand and the worth of copies are given in servers: a demand of 1 takes all the time of one
+//! server.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -14,38 +18,39 @@
 use crate::node::deployment::{EngineClass, ModelSpec};
 use crate::node::registry::BackendServer;
 
-/// The share of a server's time that one copy serves before another one is worth a load.
-const FULL_COPY_SHARE: f64 = 0.45;
+/// The demand for one copy, in servers, above which another copy is worth a load.
+const MAX_COPY_DEMAND: f64 = 0.45;
 
-/// The work in servers' worth from which a domain without a copy gets one of its own. Single requests
+/// The demand, in servers, from which a domain without a copy gets one of its own. Single requests
 /// stay below it.
-const FIRST_COPY_SHARE: f64 = 0.12;
+const FIRST_COPY_DEMAND: f64 = 0.12;
 
-/// A copy makes way only for one that is worth this many times as much.
-const GAIN_FACTOR: f64 = 1.5;
+/// A copy is evicted only for one that is worth at least this many times as much.
+const MIN_GAIN_FACTOR: f64 = 1.5;
 
-/// A copy that is younger than this stays, so that two models do not displace each other in turn.
+/// A copy that is younger than this is not evicted, so that two models do not displace each other
+/// in turn.
 const MIN_COPY_AGE: Duration = Duration::from_secs(4);
 
-/// The value of a copy of a model that nobody holds and nobody asks for, in servers' worth. Overloaded
-/// models go first: the load of the other one can follow when a request comes.
-const MISSING_VALUE: f64 = 0.1;
+/// The worth, in servers, of a copy of a model that no server holds and no request waits for.
+/// Overloaded models come first: this one can still be loaded when a request arrives.
+const NOT_REQUESTED_VALUE: f64 = 0.1;
 
-/// The value of a copy of a model that nobody holds and requests wait for.
-const AWAITED_VALUE: f64 = 0.4;
+/// The worth, in servers, of a copy of a model that no server holds and requests wait for.
+const REQUESTED_VALUE: f64 = 0.4;
 
-/// Where a server would take a model's weights from, the quickest first.
+/// The source of a model's weights for a load, the fastest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WeightSource {
     /// The server's host memory.
     Memory,
     /// The server's disk.
     Disk,
-    /// The weight store, whose rate is limited.
+    /// The weight store, whose rate of loads is limited.
     Store,
 }
 
-/// Returns where a server would take a model's weights from.
+/// Returns the source from which a server would load a model's weights.
 pub fn weight_source(server: &BackendServer, model: &str) -> WeightSource {
     let has = |names: &[Name]| names.iter().any(|name| &**name == model);
     if has(&server.in_memory) {
@@ -57,7 +62,7 @@
     }
 }
 
-/// Returns how long a load from there takes.
+/// Returns the time that a load from this source takes.
 pub fn load_time(spec: &ModelSpec, source: WeightSource) -> Duration {
     match source {
         WeightSource::Memory => spec.memory_load_time,
@@ -66,129 +71,130 @@
     }
 }
 
-/// One server of the domain that may be given an order now.
+/// A server of the domain, as a candidate for the next load.
 #[derive(Debug, Clone)]
 pub struct PlacementServer<'a> {
-    /// What it says of itself.
+    /// The server's entry in the registry.
     pub server: &'a BackendServer,
-    /// The models that it holds or is loading, by the ledger.
+    /// The models that it holds or is loading, as the leader knows them.
     pub models: SmallVec<[Name; 4]>,
-    /// Requests under way by model.
+    /// The number of requests in flight, by model.
     pub requests_by_model: BTreeMap<Name, u32>,
-    /// Requests under way that use an adapter.
+    /// The number of requests in flight that use an adapter.
     pub adapter_requests: u32,
-    /// Free accelerator memory in MB.
+    /// The free accelerator memory, in MB.
     pub free_mb: f64,
-    /// Whether an order may be given now.
+    /// Whether the server can be given an order now.
     pub accepts_orders: bool,
-    /// When each copy was ordered, where this node ordered it.
+    /// The time at which each copy was ordered, if this node ordered it.
     pub loaded_at: &'a HashMap<Name, Instant>,
 }
 
-/// How urgently a model that nobody holds is needed.
+/// How urgently a model that no server holds is needed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MissingModel {
-    /// Requests wait for it.
+    /// Requests wait for the model.
     Requested,
-    /// Nobody asks for it.
+    /// No request waits for the model.
     NotRequested,
 }
 
-/// What a domain's next load is decided from.
+/// The input of the decision about a domain's next load.
 #[derive(Debug)]
 pub struct PlacementInput<'a> {
-    /// The engines of the service.
+    /// The properties of the service's engines.
     pub class: &'a EngineClass,
     /// The servers of the domain.
     pub servers: &'a [PlacementServer<'a>],
-    /// Ready servers of every domain that hold a model.
+    /// The ready servers that hold each model, in all domains.
     pub holders: &'a HashMap<Name, Vec<Name>>,
-    /// Models that nobody holds and this domain is to bring back.
+    /// The models that no server holds and that this domain must load.
     pub missing: &'a BTreeMap<Name, MissingModel>,
-    /// This domain.
+    /// The name of this domain.
     pub domain: &'a Name,
-    /// Work by model in servers' worth that callers of this domain ask for.
+    /// The demand of this domain's callers by model, in servers.
     pub demand: &'a HashMap<Name, f64>,
     /// The other domains of the region.
     pub neighbours: &'a [NeighbourDomain],
-    /// Whether the weight store may be asked now.
+    /// Whether a load from the weight store may start now.
     pub store_load_allowed: bool,
-    /// The present time.
+    /// The current time.
     pub now: Instant,
 }
 
-/// Another failure domain of the region, whose servers are nearly as good as this domain's.
+/// Another failure domain of the same region, whose servers are nearly as good as those of this
+/// domain.
 #[derive(Debug, Clone, Default)]
 pub struct NeighbourDomain {
-    /// Its name.
+    /// The name of the domain.
     pub domain: Name,
-    /// Work by model in servers' worth that its callers ask for.
+    /// The demand of its callers by model, in servers.
     pub demand: HashMap<Name, f64>,
-    /// Copies by model.
+    /// The number of copies on its servers, by model.
     pub copies: HashMap<Name, usize>,
 }
 
-/// A load, with the copies that make way for it.
+/// A load of a model at a server, with the copies to evict first.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Move {
-    /// The server.
+    /// The id of the server.
     pub server: Name,
-    /// The models to drop first.
+    /// The models to unload first.
     pub unload: SmallVec<[Name; 2]>,
     /// The model to load.
     pub load: Name,
-    /// Where the weights come from.
+    /// The source of the weights.
     pub source: WeightSource,
-    /// The worth of the new copy.
+    /// The worth of the new copy, in servers.
     pub value: f64,
 }
 
-/// Returns the copy of a model that stays whatever the demand, so that all domains, each on its own,
-/// keep at least one.
+/// Returns the server whose copy of a model is never evicted. Every domain computes the same one
+/// without communication, so that together they keep at least one copy.
 pub fn protected_holder<'a>(model: &str, holders: &'a [Name]) -> Option<&'a Name> {
     let seed = xxh3_64_with_seed(model.as_bytes(), 0);
     holders.iter().min_by_key(|server| xxh3_64_with_seed(server.as_bytes(), seed))
 }
 
-/// Returns the most valuable load, if any is worth it.
+/// Returns the most valuable load that is worth its cost, if there is one.
 pub fn next_move(input: &PlacementInput<'_>) -> Option<Move> {
-    let copies = RegionCopies::count(input);
-    let mut wanted: Vec<(&Name, f64)> = input
+    let copies = CopyCounts::count(input);
+    let mut models: Vec<(&Name, f64)> = input
         .class
         .models
         .keys()
         .map(|model| (model, copy_value(input, &copies, model)))
         .filter(|(_, value)| *value > 0.0)
         .collect();
-    wanted.sort_by(|a, b| b.1.total_cmp(&a.1));
-    wanted.into_iter().find_map(|(model, value)| best_server(input, &copies, model, value))
+    models.sort_by(|a, b| b.1.total_cmp(&a.1));
+    models.into_iter().find_map(|(model, value)| best_move(input, &copies, model, value))
 }
 
-/// Copies by model: in this domain, and in the whole region.
+/// The numbers of copies by model, in this domain and in the whole region.
 #[derive(Debug, Default)]
-struct RegionCopies {
-    here: BTreeMap<Name, usize>,
+struct CopyCounts {
+    domain: BTreeMap<Name, usize>,
     region: BTreeMap<Name, usize>,
 }
 
-impl RegionCopies {
+impl CopyCounts {
     fn count(input: &PlacementInput<'_>) -> Self {
         let mut copies = Self::default();
         for model in input.servers.iter().flat_map(|server| &server.models) {
-            *copies.here.entry(model.clone()).or_default() += 1;
+            *copies.domain.entry(model.clone()).or_default() += 1;
         }
-        copies.region.clone_from(&copies.here);
+        copies.region.clone_from(&copies.domain);
         for (model, count) in input.neighbours.iter().flat_map(|neighbour| &neighbour.copies) {
             *copies.region.entry(model.clone()).or_default() += count;
         }
         copies
     }
 
-    fn here(&self, model: &str) -> usize {
-        self.here.get(model).copied().unwrap_or(0)
+    fn in_domain(&self, model: &str) -> usize {
+        self.domain.get(model).copied().unwrap_or(0)
     }
 
-    fn region(&self, model: &str) -> usize {
+    fn in_region(&self, model: &str) -> usize {
         self.region.get(model).copied().unwrap_or(0)
     }
 }
@@ -198,76 +204,86 @@
     input.demand.get(model).into_iter().chain(neighbours).sum()
 }
 
-/// Returns how many copies of a model this domain is to hold: its part of those that the region needs,
-/// by its part of the demand. Every domain finds the same parts from the same demand, so that together
-/// they bring as many as are needed.
-fn copies_due(input: &PlacementInput<'_>, model: &str) -> usize {
+/// Returns how many copies of a model this domain should hold: its part of the copies that the
+/// region needs, in proportion to its part of the demand, rounded by largest remainder. Every
+/// domain computes the same parts from the same demand, so that together they load as many copies
+/// as are needed.
+fn target_copies(input: &PlacementInput<'_>, model: &str) -> usize {
     let demand = region_demand(input, model);
-    if demand < FIRST_COPY_SHARE {
+    if demand < FIRST_COPY_DEMAND {
         return 0;
     }
-    let needed = (demand / FULL_COPY_SHARE).ceil();
-    let own = input.demand.get(model).copied().unwrap_or(0.0);
-    let quota = |demand_there: f64| needed * demand_there / demand;
+    let needed = (demand / MAX_COPY_DEMAND).ceil();
+    let own_demand = input.demand.get(model).copied().unwrap_or(0.0);
+    let quota = |domain_demand: f64| needed * domain_demand / demand;
     let domains = input.neighbours.iter().map(|neighbour| {
         (&neighbour.domain, quota(neighbour.demand.get(model).copied().unwrap_or(0.0)))
     });
-    let whole: f64 =
-        domains.clone().map(|(_, quota)| quota.floor()).sum::<f64>() + quota(own).floor();
-    let rest = quota(own).fract();
-    let ahead = domains
+    let assigned: f64 =
+        domains.clone().map(|(_, quota)| quota.floor()).sum::<f64>() + quota(own_demand).floor();
+    let own_remainder = quota(own_demand).fract();
+    let domains_before = domains
         .filter(|(name, quota)| {
-            quota.fract() > rest || (quota.fract() == rest && *name < input.domain)
+            quota.fract() > own_remainder
+                || (quota.fract() == own_remainder && *name < input.domain)
         })
         .count();
-    let left = (needed - whole).round() as usize;
-    quota(own).floor() as usize + usize::from(ahead < left)
+    let unassigned = (needed - assigned).round() as usize;
+    quota(own_demand).floor() as usize + usize::from(domains_before < unassigned)
 }
 
-/// Returns what one more copy of the model is worth, 0 where none is needed.
-fn copy_value(input: &PlacementInput<'_>, copies: &RegionCopies, model: &Name) -> f64 {
+/// Returns the worth of one more copy of the model in servers, or 0 if none is needed.
+fn copy_value(input: &PlacementInput<'_>, copies: &CopyCounts, model: &Name) -> f64 {
     let demand = region_demand(input, model);
-    let (here, region) = (copies.here(model), copies.region(model));
-    let anywhere = here > 0 || input.holders.get(model).is_some_and(|held| !held.is_empty());
-    if !anywhere {
+    let (in_domain, in_region) = (copies.in_domain(model), copies.in_region(model));
+    let is_held =
+        in_domain > 0 || input.holders.get(model).is_some_and(|holders| !holders.is_empty());
+    if !is_held {
         return match input.missing.get(model) {
-            Some(MissingModel::Requested) => AWAITED_VALUE + demand,
-            Some(MissingModel::NotRequested) => MISSING_VALUE,
+            Some(MissingModel::Requested) => REQUESTED_VALUE + demand,
+            Some(MissingModel::NotRequested) => NOT_REQUESTED_VALUE,
             None => 0.0,
         };
     }
-    let is_full = region == 0 || demand / region as f64 > FULL_COPY_SHARE;
-    if is_full && here < copies_due(input, model) { demand / (region + 1) as f64 } else { 0.0 }
+    let is_overloaded = in_region == 0 || demand / in_region as f64 > MAX_COPY_DEMAND;
+    if is_overloaded && in_domain < target_copies(input, model) {
+        demand / (in_region + 1) as f64
+    } else {
+        0.0
+    }
 }
 
-fn best_server(
+fn best_move(
     input: &PlacementInput<'_>,
-    copies: &RegionCopies,
+    copies: &CopyCounts,
     model: &Name,
     value: f64,
 ) -> Option<Move> {
     let spec = input.class.models.get(model)?;
-    let options = input.servers.iter().filter(|server| server.accepts_orders);
-    let options = options.filter(|server| !server.models.contains(model));
+    let candidates = input.servers.iter().filter(|server| server.accepts_orders);
+    let candidates = candidates.filter(|server| !server.models.contains(model));
     let mut best: Option<(f64, Move)> = None;
-    for server in options {
+    for server in candidates {
         let source = weight_source(server.server, model);
         if source == WeightSource::Store && !input.store_load_allowed {
             continue;
         }
-        let Some((unload, lost)) = victims(input, copies, server, spec) else { continue };
-        let is_used = |model: &Name| {
+        let Some((unload, lost_value)) = copies_to_evict(input, copies, server, spec) else {
+            continue;
+        };
+        let has_requests = |model: &Name| {
             server.requests_by_model.get(model).is_some_and(|requests| *requests > 0)
         };
-        let drain = if unload.iter().any(is_used) { DRAIN_SECONDS } else { 0.0 };
-        if lost * GAIN_FACTOR > value {
+        let drain_seconds = if unload.iter().any(has_requests) { DRAIN_SECONDS } else { 0.0 };
+        if lost_value * MIN_GAIN_FACTOR > value {
             continue;
         }
-        let seconds = load_time(spec, source).as_secs_f64() + drain;
-        let blocked = f64::from(server.adapter_requests) * BLOCKED_ADAPTER_COST;
-        let cost =
-            lost + seconds * (LOAD_SECOND_COST + blocked) + busy_share(input, copies, server);
-        if best.as_ref().is_none_or(|(least, _)| cost < *least) {
+        let seconds = load_time(spec, source).as_secs_f64() + drain_seconds;
+        let adapter_cost = f64::from(server.adapter_requests) * BLOCKED_ADAPTER_COST_PER_SECOND;
+        let cost = lost_value
+            + seconds * (LOAD_COST_PER_SECOND + adapter_cost)
+            + resident_demand(input, copies, server);
+        if best.as_ref().is_none_or(|(least_cost, _)| cost < *least_cost) {
             let (id, load) = (server.server.id.clone(), model.clone());
             best = Some((cost, Move { server: id, unload, load, source, value }));
         }
@@ -275,78 +291,80 @@
     best.map(|(_, chosen)| chosen)
 }
 
-/// What each request under way at a copy that makes way costs, in servers' worth.
-const DRAIN_COST: f64 = 0.01;
+/// The cost of each request in flight at a copy that is evicted, in servers.
+const DRAIN_COST_PER_REQUEST: f64 = 0.01;
 
-/// Requests at a copy that makes way keep it for about this long, in seconds: a stream of some hundred
-/// tokens on a busy server.
+/// The time in seconds for which requests in flight delay the eviction of their copy. It is about
+/// that of a stream of some hundred tokens on a busy server.
 const DRAIN_SECONDS: f64 = 3.0;
 
-/// What a second of loading costs in servers' worth when servers are compared.
-const LOAD_SECOND_COST: f64 = 0.05;
+/// The cost of each second of loading when servers are compared, in servers.
+const LOAD_COST_PER_SECOND: f64 = 0.05;
 
-/// What a second of loading costs for each request that uses an adapter there: a server that loads takes
-/// no orders for adapters, and the next adapter of the same model has to wait or go elsewhere.
-const BLOCKED_ADAPTER_COST: f64 = 0.03;
+/// The additional cost of each second of loading for each request at the server that uses an
+/// adapter, in servers. A server that loads a model accepts no orders for adapters, so that the
+/// next adapter of the same model has to wait or go to another server.
+const BLOCKED_ADAPTER_COST_PER_SECOND: f64 = 0.03;
 
-/// Returns the work that the server's other models bring it.
-fn busy_share(
+/// Returns the demand, in servers, that the models on the server bring it.
+fn resident_demand(
     input: &PlacementInput<'_>,
-    copies: &RegionCopies,
+    copies: &CopyCounts,
     server: &PlacementServer<'_>,
 ) -> f64 {
-    server.models.iter().map(|model| copy_worth(input, copies, model)).sum()
+    server.models.iter().map(|model| demand_per_copy(input, copies, model)).sum()
 }
 
-fn copy_worth(input: &PlacementInput<'_>, copies: &RegionCopies, model: &Name) -> f64 {
-    region_demand(input, model) / copies.region(model).max(1) as f64
+fn demand_per_copy(input: &PlacementInput<'_>, copies: &CopyCounts, model: &Name) -> f64 {
+    region_demand(input, model) / copies.in_region(model).max(1) as f64
 }
 
-/// Returns the copies to drop for a model of this size, and what they are worth together.
-fn victims(
+/// Returns the copies to evict so that a model of this size fits, and what they are worth together.
+fn copies_to_evict(
     input: &PlacementInput<'_>,
-    copies: &RegionCopies,
+    copies: &CopyCounts,
     server: &PlacementServer<'_>,
     spec: &ModelSpec,
 ) -> Option<(SmallVec<[Name; 2]>, f64)> {
-    let mut free = server.free_mb;
-    let mut droppable: Vec<(&Name, f64)> = server
+    let mut free_mb = server.free_mb;
+    let mut evictable: Vec<(&Name, f64)> = server
         .models
         .iter()
-        .filter(|model| may_drop(input, server, model))
-        .map(|model| (model, copy_worth(input, copies, model) + drain_cost(server, model)))
+        .filter(|model| may_evict(input, server, model))
+        .map(|model| (model, demand_per_copy(input, copies, model) + drain_cost(server, model)))
         .collect();
-    droppable.sort_by(|a, b| a.1.total_cmp(&b.1));
-    let (mut dropped, mut lost) = (SmallVec::new(), 0.0);
-    for (model, worth) in droppable {
-        if free >= spec.memory_mb {
+    evictable.sort_by(|a, b| a.1.total_cmp(&b.1));
+    let (mut evicted, mut lost_value) = (SmallVec::new(), 0.0);
+    for (model, worth) in evictable {
+        if free_mb >= spec.memory_mb {
             break;
         }
-        free += input.class.models.get(model).map_or(0.0, |spec| spec.memory_mb);
-        lost += worth;
-        dropped.push(model.clone());
+        free_mb += input.class.models.get(model).map_or(0.0, |spec| spec.memory_mb);
+        lost_value += worth;
+        evicted.push(model.clone());
     }
-    (free >= spec.memory_mb).then_some((dropped, lost))
+    (free_mb >= spec.memory_mb).then_some((evicted, lost_value))
 }
 
-/// Returns what it costs that a model's requests have to end before it can be dropped.
+/// Returns the cost of waiting for a model's requests to end before it is evicted, in servers.
 fn drain_cost(server: &PlacementServer<'_>, model: &Name) -> f64 {
-    f64::from(server.requests_by_model.get(model).copied().unwrap_or(0)) * DRAIN_COST
+    f64::from(server.requests_by_model.get(model).copied().unwrap_or(0)) * DRAIN_COST_PER_REQUEST
 }
 
-fn may_drop(input: &PlacementInput<'_>, server: &PlacementServer<'_>, model: &Name) -> bool {
+fn may_evict(input: &PlacementInput<'_>, server: &PlacementServer<'_>, model: &Name) -> bool {
     let id = &server.server.id;
     let holders = input.holders.get(model).map(Vec::as_slice).unwrap_or_default();
-    let elsewhere = holders.iter().any(|holder| holder != id);
-    let is_old = server
+    let has_other_holder = holders.iter().any(|holder| holder != id);
+    let is_old_enough = server
         .loaded_at
         .get(model)
         .is_none_or(|at| input.now.saturating_duration_since(*at) >= MIN_COPY_AGE);
-    elsewhere && protected_holder(model, holders) != Some(id) && is_old
+    has_other_holder && protected_holder(model, holders) != Some(id) && is_old_enough
 }
 
-/// Returns the domain that brings a model back when nobody holds it, among the domains with servers.
-/// Every node finds the same one, so that a model is not loaded in each domain at once.
+/// Returns the domain that loads a model again when no server holds it, among the domains with
+/// servers. Every node computes the same one, so that the model is not loaded in all domains at
+/// once.
 pub fn restoring_domain<'a>(
     model: &str,
     domains: impl Iterator<Item = &'a Name>,
@@ -355,61 +373,63 @@
     domains.min_by_key(|domain| xxh3_64_with_seed(domain.as_bytes(), seed))
 }
 
-/// A domain's part of the weight store's rate.
+/// Limits the loads of one domain to its part of the weight store's rate.
 ///
-/// The bound counts the loads that begin within a window over all servers. Each domain takes an equal
-/// part, so no message is needed for a load.
+/// The store's rate bounds the loads that start within a time window, over all servers. Each domain
+/// gets an equal part of it, so that domains need no messages to agree on a load.
 #[derive(Debug, Clone)]
 pub struct LoadRateLimiter {
     window: Duration,
-    most: usize,
-    begun: Vec<Instant>,
+    max_loads: usize,
+    started: Vec<Instant>,
 }
 
 impl LoadRateLimiter {
-    /// Starts with the part of one of `domains` domains.
+    /// Creates the limiter of one of `domains` domains.
     pub fn new(loads_per_s: f64, window: Duration, domains: usize) -> Self {
         let total = loads_per_s * window.as_secs_f64();
-        let most = (total / domains.max(1) as f64).floor().max(1.0) as usize;
-        Self { window, most, begun: Vec::new() }
+        let max_loads = (total / domains.max(1) as f64).floor().max(1.0) as usize;
+        Self { window, max_loads, started: Vec::new() }
     }
 
-    /// Counts the window as used up, since a former holder may have used it.
+    /// Counts the current window as exhausted, since a former leader may have used it.
     pub fn assume_exhausted(&mut self, now: Instant) {
-        self.begun = vec![now; self.most];
+        self.started = vec![now; self.max_loads];
     }
 
-    /// Returns whether a load may begin.
+    /// Returns whether a load may start.
     pub fn may_start_load(&mut self, now: Instant) -> bool {
         let window = self.window;
-        self.begun.retain(|at| now.saturating_duration_since(*at) < window);
-        self.begun.len() < self.most
+        self.started.retain(|at| now.saturating_duration_since(*at) < window);
+        self.started.len() < self.max_loads
     }
 
-    /// Counts a load.
+    /// Counts a load that starts.
     pub fn record_load(&mut self, now: Instant) {
-        self.begun.push(now);
+        self.started.push(now);
     }
 }
 
-/// The work asked of each model, quick to rise and slow to fall.
+/// A running average of the demand for each model, which rises faster than it falls.
 #[derive(Debug, Clone, Default)]
 pub struct DemandAverage {
+    /// The averages with the time constants `RISE_TIME` and `FALL_TIME`, by model.
     models: HashMap<Name, (f64, f64)>,
     observed_at: Option<Instant>,
 }
 
-/// The time constant with which demand rises.
-const RISE: Duration = Duration::from_millis(2_000);
+/// The time constant with which the average rises.
+const RISE_TIME: Duration = Duration::from_millis(2_000);
 
-/// The time constant with which demand falls.
-const FALL: Duration = Duration::from_secs(3);
+/// The time constant with which the average falls.
+const FALL_TIME: Duration = Duration::from_secs(3);
 
-/// Below this a model counts as not asked for.
-const NEGLIGIBLE: f64 = 1e-4;
+/// The demand, in servers, below which a model counts as not requested.
+const MIN_DEMAND: f64 = 1e-4;
 
 impl DemandAverage {
-    /// Takes the work in milliseconds that arrived since the last observation.
+    /// Adds the work by model that arrived since the last observation, in milliseconds of server
+    /// time.
     pub fn observe(&mut self, work_ms: &HashMap<Name, f64>, now: Instant) {
         let Some(interval) = self.observed_at.map(|at| now.saturating_duration_since(at)) else {
             self.observed_at = Some(now);
@@ -422,13 +442,13 @@
         }
         for (model, (fast, slow)) in &mut self.models {
             let rate = work_ms.get(model).copied().unwrap_or(0.0) / 1e3 / seconds;
-            *fast += (rate - *fast) * (1.0 - (-seconds / RISE.as_secs_f64()).exp());
-            *slow += (rate - *slow) * (1.0 - (-seconds / FALL.as_secs_f64()).exp());
+            *fast += (rate - *fast) * (1.0 - (-seconds / RISE_TIME.as_secs_f64()).exp());
+            *slow += (rate - *slow) * (1.0 - (-seconds / FALL_TIME.as_secs_f64()).exp());
         }
-        self.models.retain(|_, (fast, slow)| fast.max(*slow) > NEGLIGIBLE);
+        self.models.retain(|_, (fast, slow)| fast.max(*slow) > MIN_DEMAND);
     }
 
-    /// Returns the demand by model in servers' worth.
+    /// Returns the demand by model, in servers.
     pub fn demand(&self) -> HashMap<Name, f64> {
         self.models.iter().map(|(model, (fast, slow))| (model.clone(), fast.max(*slow))).collect()
     }
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -1,8 +1,8 @@
 //! Chooses the server for a request by the expected time to its first token.
 //!
-//! Load pattern: bursts of long prompts that share their beginnings. The choice weighs the prefill
-//! that is already under way, by rank and over all nodes, against what a cached prefix saves and
-//! what a distant server costs.
+//! Load pattern: bursts of long prompts with common prefixes. The choice weighs the prefill time
+//! that is already queued at each server, by rank and over all nodes, against the time that a
+//! cached prefix saves and the cost of a distant server.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,36 +14,40 @@
 use crate::node::registry::BackendServer;
 use crate::node::request::{Generation, PrefixKeys};
 
-/// Prefill time a token before anything was measured; a mid-size model on a current accelerator.
+/// The prefill time per token before any measurement: that of a mid-size model on a current
+/// accelerator.
 const INITIAL_PREFILL_MS_PER_TOKEN: f64 = 0.02;
 
-/// Service time of a plain service before anything was measured.
+/// The service time of a service without model engines before any measurement.
 const INITIAL_SERVICE_MS: f64 = 20.0;
 
-/// The weight of the newest sample in running averages of speed.
+/// The weight of the newest sample in the running averages of speed.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Added for each request that runs at a server: each one lengthens every step of the batch.
-const MS_PER_RUNNING: f64 = 0.5;
+/// The expected wait for each request that runs at a server, as each one lengthens every step of
+/// the batch.
+const MS_PER_RUNNING_REQUEST: f64 = 0.5;
 
-/// Added for the whole failure rate of a server, so that a failing one gets little work.
-const MS_PER_FAILURE_RATE: f64 = 3_000.0;
+/// The cost of a failure rate of 1, in milliseconds. Lower rates cost proportionally less. A
+/// failing server thereby gets few requests.
+const FAILURE_RATE_COST_MS: f64 = 3_000.0;
 
-/// The share of the full prefill below which a first token says nothing about the speed.
+/// The expected time to the first token, in milliseconds, below which the measured time says
+/// nothing about the speed.
 const MIN_MEASURED_MS: f64 = 5.0;
 
-/// Prefill that a copy of another server's cache has to save, in milliseconds. A copy occupies the
-/// links of two servers, which a short prefill is not worth.
-const MIN_SAVED_BY_COPY_MS: f64 = 50.0;
+/// The time that copying another server's cached prefix has to save, in milliseconds. A copy
+/// occupies the links of two servers, which is not worth it for a short prefill.
+const MIN_COPY_SAVING_MS: f64 = 50.0;
 
-/// What distance and missing adapters add to the expected time.
+/// The costs of distance and missing adapters, which are added to the expected time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SelectionCosts {
-    /// Added for a server in another failure domain of the region, in milliseconds.
+    /// The cost of a server in another failure domain of the region, in milliseconds.
     pub other_domain_ms: f64,
-    /// Added for a server in another region, in milliseconds.
+    /// The cost of a server in another region, in milliseconds.
     pub other_region_ms: f64,
-    /// Added where the adapter has to be loaded first, in milliseconds.
+    /// The cost of each order that is needed before the adapter is loaded, in milliseconds.
     pub adapter_load_ms: f64,
 }
 
@@ -53,7 +57,7 @@
     }
 }
 
-/// How far a server is from this node.
+/// The distance of a server from this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the same failure domain.
@@ -64,32 +68,36 @@
     OtherRegion,
 }
 
-/// Running averages of how fast models and servers work.
+/// Running averages of the speed of models, servers and services.
 #[derive(Debug, Clone, Default)]
 pub struct SpeedEstimates {
-    models: HashMap<Name, f64>,
+    /// Prefill time per token in milliseconds, by model.
+    prefill_ms_per_token: HashMap<Name, f64>,
+    /// The factor by which a server is slower than the others, by server.
     slowness: HashMap<Name, f64>,
-    services: HashMap<Name, f64>,
+    /// Service time in milliseconds, by service without model engines.
+    service_ms: HashMap<Name, f64>,
 }
 
 impl SpeedEstimates {
-    /// Returns the expected prefill time of this many tokens in milliseconds.
+    /// Returns the expected prefill time of this many tokens, in milliseconds.
     pub fn prefill_ms(&self, model: &str, tokens: u32) -> f64 {
-        let per_token = self.models.get(model).copied().unwrap_or(INITIAL_PREFILL_MS_PER_TOKEN);
+        let per_token =
+            self.prefill_ms_per_token.get(model).copied().unwrap_or(INITIAL_PREFILL_MS_PER_TOKEN);
         per_token * f64::from(tokens)
     }
 
-    /// Returns by how much the server is slower than the others.
+    /// Returns the factor by which the server is slower than the others.
     pub fn slowness(&self, server: &str) -> f64 {
         self.slowness.get(server).copied().unwrap_or(1.0)
     }
 
-    /// Returns the running service time of a plain service in milliseconds.
+    /// Returns the average service time of a service without model engines, in milliseconds.
     pub fn service_ms(&self, service: &str) -> f64 {
-        self.services.get(service).copied().unwrap_or(INITIAL_SERVICE_MS)
+        self.service_ms.get(service).copied().unwrap_or(INITIAL_SERVICE_MS)
     }
 
-    /// Takes the time to a first token, against the prefill that was expected to precede it.
+    /// Updates the averages with the time to a first token, compared to the expected time.
     pub fn record_first_token(
         &mut self,
         server: &Name,
@@ -102,186 +110,192 @@
         }
         let ratio = (took.as_secs_f64() * 1e3 / expected_ms).clamp(0.1, 10.0);
         let slowness = self.slowness.entry(server.clone()).or_insert(1.0);
-        // Where the server is slow as a whole, the model is not to blame.
+        // What the slowness of the server explains says nothing about the model.
         let model_ratio = ratio / *slowness;
         *slowness += (ratio.max(1.0) - *slowness) * NEWEST_WEIGHT;
-        let per_token = self.models.entry(model.clone()).or_insert(INITIAL_PREFILL_MS_PER_TOKEN);
+        let per_token =
+            self.prefill_ms_per_token.entry(model.clone()).or_insert(INITIAL_PREFILL_MS_PER_TOKEN);
         *per_token *= 1.0 + (model_ratio.clamp(0.5, 2.0) - 1.0) * NEWEST_WEIGHT;
         *per_token = per_token.clamp(0.002, 1.0);
     }
 
-    /// Takes the time of an answer of a plain service.
+    /// Updates the averages with the response time of a service without model engines.
     pub fn record_service_time(&mut self, server: &Name, service: &Name, took: Duration) {
         let took_ms = took.as_secs_f64() * 1e3;
-        let average = self.services.entry(service.clone()).or_insert(INITIAL_SERVICE_MS);
+        let average = self.service_ms.entry(service.clone()).or_insert(INITIAL_SERVICE_MS);
         let ratio = (took_ms / *average).clamp(0.2, 10.0);
         *average += (took_ms.min(*average * 4.0) - *average) * NEWEST_WEIGHT;
         let slowness = self.slowness.entry(server.clone()).or_insert(1.0);
         *slowness += (ratio.max(1.0) - *slowness) * NEWEST_WEIGHT;
     }
 
-    /// Forgets the servers that `keep` rejects.
+    /// Removes the servers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.slowness.retain(|server, _| keep(server));
     }
 }
 
-/// What is known when a server is chosen.
+/// What is known of the servers when one is chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct SelectionContext<'a> {
-    /// What runs where.
+    /// The load of each server.
     pub loads: &'a LoadTracker,
-    /// Which prefixes are cached where.
+    /// The prefixes that each server has probably cached.
     pub prefixes: &'a PrefixCacheIndex,
-    /// How far each server is trusted.
+    /// The health of each server.
     pub health: &'a HealthTracker,
-    /// How fast models and servers are.
+    /// The speed of models, servers and services.
     pub speeds: &'a SpeedEstimates,
-    /// What distance costs.
+    /// The costs of distance and missing adapters.
     pub costs: SelectionCosts,
-    /// The present time.
+    /// The current time.
     pub now: Instant,
 }
 
-/// What a choice was made for.
+/// The request that a server is chosen for.
 #[derive(Debug, Clone, Copy)]
 pub struct SelectionRequest<'a> {
-    /// The model request, if one is asked.
+    /// The generation that is asked for, where the request is for a model.
     pub generation: Option<&'a Generation>,
-    /// The keys of its prompt.
+    /// The keys of the prefixes of its prompt.
     pub keys: &'a PrefixKeys,
-    /// The service.
+    /// The name of the service.
     pub service: &'a str,
     /// The rank of the request.
     pub rank: u8,
-    /// Milliseconds that engines take to copy one cached token from another, where they can.
+    /// The time to copy one cached token from another server, in milliseconds; none where engines
+    /// cannot copy.
     pub copy_ms_per_token: Option<f64>,
 }
 
-/// A server that may take the request.
+/// A server that may be chosen for the request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// The server.
+    /// The server's entry in the registry.
     pub server: &'a BackendServer,
-    /// How far it is.
+    /// The distance of the server.
     pub distance: Distance,
-    /// Orders that it takes until the adapter is there: none, a load, or an unload and a load.
+    /// The number of orders that are needed before the adapter is loaded: none, a load, or an
+    /// unload and a load.
     pub adapter_orders: u8,
 }
 
-/// A candidate with what is expected of it.
+/// A candidate with its estimates.
 #[derive(Debug, Clone, Copy)]
 pub struct Choice<'a> {
-    /// The candidate.
+    /// The candidate that the estimates are for.
     pub candidate: Candidate<'a>,
-    /// Milliseconds of prefill that the request itself needs there.
+    /// The prefill time of the request itself at the server, in milliseconds.
     pub prefill_ms: f32,
-    /// The server from which the candidate copies the beginning of the prompt first.
+    /// The server from which the candidate first copies the cached prefix of the prompt.
     pub copy_from: Option<&'a BackendServer>,
-    /// The expected time to the first token, or to the answer.
+    /// The expected time to the first token, or to the response of a service without model engines.
     pub expected_latency: Duration,
-    /// Expected time with the costs of distance, by which candidates are compared.
+    /// The expected time with all costs added, by which candidates are compared, in milliseconds.
     pub cost_ms: f64,
 }
 
-/// The most that a server has cached of a prompt.
+/// The longest prefix of the prompt that any candidate has cached.
 #[derive(Debug, Clone, Copy)]
-struct LongestCache<'a> {
+struct LongestCachedPrefix<'a> {
     server: &'a BackendServer,
     tokens: u32,
 }
 
-/// Returns what is expected of a candidate, which may copy from the longest cache.
-fn assess<'a>(
+/// Returns the estimates for a candidate, which may copy the longest cached prefix.
+fn estimate<'a>(
     candidate: Candidate<'a>,
-    longest: Option<LongestCache<'a>>,
-    demanded: &SelectionRequest<'_>,
+    longest: Option<LongestCachedPrefix<'a>>,
+    request: &SelectionRequest<'_>,
     cx: &SelectionContext<'_>,
 ) -> Choice<'a> {
     let server = candidate.server;
     let load = cx.loads.total(&server.id);
     let slowness = cx.speeds.slowness(&server.id);
     let mut copy_from = None;
-    let (own_ms, wait_ms) = match demanded.generation {
+    let (service_ms, wait_ms) = match request.generation {
         Some(generation) => {
-            let cached = cx.prefixes.cached_tokens(&server.id, server.incarnation, demanded.keys);
+            let cached = cx.prefixes.cached_tokens(&server.id, server.incarnation, request.keys);
             let prefill = |cached| {
                 let uncached = generation.prompt_tokens.saturating_sub(cached);
                 cx.speeds.prefill_ms(&generation.model, uncached)
             };
-            let mut own = prefill(cached);
-            if let (Some(longest), Some(ms_per_token)) = (longest, demanded.copy_ms_per_token) {
+            let mut prefill_ms = prefill(cached);
+            if let (Some(longest), Some(ms_per_token)) = (longest, request.copy_ms_per_token) {
                 let copied = longest.tokens.saturating_sub(cached);
                 let with_copy = prefill(longest.tokens) + ms_per_token * f64::from(copied);
-                if own - with_copy >= MIN_SAVED_BY_COPY_MS {
-                    own = with_copy;
+                if prefill_ms - with_copy >= MIN_COPY_SAVING_MS {
+                    prefill_ms = with_copy;
                     copy_from = Some(longest.server);
                 }
             }
-            let ahead = f64::from(load.prefill_ahead_ms(demanded.rank));
+            let ahead_ms = f64::from(load.prefill_ahead_ms(request.rank));
             (
-                own,
-                ahead + MS_PER_RUNNING * f64::from(load.running) + full_wait(server, load.running),
+                prefill_ms,
+                ahead_ms
+                    + MS_PER_RUNNING_REQUEST * f64::from(load.running)
+                    + slot_wait_ms(server, load.running),
             )
         }
         None => {
-            let own = cx.speeds.service_ms(demanded.service);
-            (own, own * f64::from(load.running) / f64::from(server.slots.max(1)))
+            let service_ms = cx.speeds.service_ms(request.service);
+            (service_ms, service_ms * f64::from(load.running) / f64::from(server.slots.max(1)))
         }
     };
-    let expected_ms = (own_ms + wait_ms) * slowness;
+    let expected_ms = (service_ms + wait_ms) * slowness;
     let distance_ms = match candidate.distance {
         Distance::SameDomain => 0.0,
         Distance::SameRegion => cx.costs.other_domain_ms,
         Distance::OtherRegion => cx.costs.other_region_ms,
     };
     let adapter_ms = cx.costs.adapter_load_ms * f64::from(candidate.adapter_orders);
-    let failures_ms = cx.health.failure_rate(&server.id) * MS_PER_FAILURE_RATE;
+    let failures_ms = cx.health.failure_rate(&server.id) * FAILURE_RATE_COST_MS;
     let total_ms = expected_ms + distance_ms + adapter_ms;
     Choice {
         candidate,
-        prefill_ms: (own_ms * slowness) as f32,
+        prefill_ms: (service_ms * slowness) as f32,
         copy_from,
         expected_latency: Duration::from_secs_f64(total_ms / 1e3),
         cost_ms: total_ms + failures_ms,
     }
 }
 
-/// Returns the best candidate; one that is paused comes last.
+/// Returns the candidate with the least cost; paused ones come after all others.
 pub fn choose_server<'a>(
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
-    demanded: &SelectionRequest<'_>,
+    request: &SelectionRequest<'_>,
     cx: &SelectionContext<'_>,
 ) -> Option<Choice<'a>> {
     let key = |choice: &Choice<'_>| {
         let paused = cx.health.is_paused(&choice.candidate.server.id, cx.now);
         (paused, choice.cost_ms)
     };
-    let longest = longest_cache(candidates.clone(), demanded, cx);
+    let longest = longest_cached_prefix(candidates.clone(), request, cx);
     candidates
-        .map(|candidate| assess(candidate, longest, demanded, cx))
+        .map(|candidate| estimate(candidate, longest, request, cx))
         .min_by(|a, b| key(a).partial_cmp(&key(b)).unwrap_or(std::cmp::Ordering::Equal))
 }
 
-/// Returns the candidate with the most of the prompt in its cache, where caches can be copied.
-fn longest_cache<'a>(
+/// Returns the candidate with the longest cached prefix of the prompt, where engines can copy it.
+fn longest_cached_prefix<'a>(
     candidates: impl Iterator<Item = Candidate<'a>>,
-    demanded: &SelectionRequest<'_>,
+    request: &SelectionRequest<'_>,
     cx: &SelectionContext<'_>,
-) -> Option<LongestCache<'a>> {
-    demanded.copy_ms_per_token?;
+) -> Option<LongestCachedPrefix<'a>> {
+    request.copy_ms_per_token?;
     candidates
         .filter(|candidate| candidate.adapter_orders == 0)
-        .map(|Candidate { server, .. }| LongestCache {
+        .map(|Candidate { server, .. }| LongestCachedPrefix {
             server,
-            tokens: cx.prefixes.cached_tokens(&server.id, server.incarnation, demanded.keys),
+            tokens: cx.prefixes.cached_tokens(&server.id, server.incarnation, request.keys),
         })
-        .max_by_key(|cache| cache.tokens)
+        .max_by_key(|prefix| prefix.tokens)
 }
 
-/// A server whose slots are all taken starts nothing until one of them ends.
-fn full_wait(server: &BackendServer, running: u32) -> f64 {
-    /// Time for a slot of a full batch to become free.
+/// Returns the expected wait for a free slot, in milliseconds. A server without a free slot starts
+/// no request until another one ends.
+fn slot_wait_ms(server: &BackendServer, running: u32) -> f64 {
+    /// The time for a slot of a full batch to become free.
     const SLOT_WAIT_MS: f64 = 20.0;
     f64::from((running + 1).saturating_sub(server.slots)) * SLOT_WAIT_MS
 }
