--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -1,4 +1,4 @@
-//! The load patterns that each decision of a node answers, replayed.
+//! Tests the decisions of a node against the load patterns that they are made for.
 
 mod node_support;
 
@@ -29,8 +29,8 @@
     Duration::from_millis(ms)
 }
 
-/// A prompt of a shared part and one of its own, as drafts have.
-fn draft(model: &str) -> Generation {
+/// Returns a generation with a long prompt: a part that other prompts share and a part of its own.
+fn long_prompt(model: &str) -> Generation {
     let parts = [PromptPart { id: 7, tokens: 6_300 }, PromptPart { id: 8, tokens: 2_890 }];
     Generation {
         model: model.into(),
@@ -41,9 +41,9 @@
     }
 }
 
-/// Everything that a choice looks at.
+/// The state that the selection of a server depends on.
 #[derive(Default)]
-struct Desk {
+struct SelectionState {
     loads: LoadTracker,
     prefixes: PrefixCacheIndex,
     health: HealthTracker,
@@ -51,15 +51,15 @@
     copy_ms_per_token: Option<f64>,
 }
 
-impl Desk {
-    fn choose(&self, candidates: &[Candidate<'_>], asked: &Generation, now: Instant) -> Name {
-        self.choose_with_source(candidates, asked, now).0
+impl SelectionState {
+    fn choose(&self, candidates: &[Candidate<'_>], generation: &Generation, now: Instant) -> Name {
+        self.choose_with_source(candidates, generation, now).0
     }
 
     fn choose_with_source(
         &self,
         candidates: &[Candidate<'_>],
-        asked: &Generation,
+        generation: &Generation,
         now: Instant,
     ) -> (Name, Option<Name>) {
         let cx = SelectionContext {
@@ -70,126 +70,150 @@
             costs: SelectionCosts::default(),
             now,
         };
-        let keys = asked.prefix_keys();
-        let demanded = SelectionRequest {
-            generation: Some(asked),
+        let keys = generation.prefix_keys();
+        let request = SelectionRequest {
+            generation: Some(generation),
             keys: &keys,
             service: "drafts",
             rank: 0,
             copy_ms_per_token: self.copy_ms_per_token,
         };
-        let chosen = choose_server(candidates.iter().copied(), &demanded, &cx);
+        let chosen = choose_server(candidates.iter().copied(), &request, &cx);
         let chosen = chosen.expect("there are candidates");
         let source = chosen.copy_from.map(|source| source.id.clone());
         (chosen.candidate.server.id.clone(), source)
     }
 }
 
-fn near(server: &BackendServer) -> Candidate<'_> {
+fn same_domain(server: &BackendServer) -> Candidate<'_> {
     Candidate { server, distance: Distance::SameDomain, adapter_orders: 0 }
 }
 
 #[test]
 fn a_burst_of_long_prompts_spreads_over_the_servers() {
     let (a, b) = (server("a", "east", &["m"]), server("b", "east", &["m"]));
-    let (mut desk, now) = (Desk::default(), Instant::now());
+    let (mut selection, now) = (SelectionState::default(), Instant::now());
     let mut counts: HashMap<Name, u32> = HashMap::new();
     for _ in 0..20 {
-        let chosen = desk.choose(&[near(&a), near(&b)], &draft("m"), now);
-        desk.loads.start_request(&chosen, 0, 180.0);
+        let chosen = selection.choose(&[same_domain(&a), same_domain(&b)], &long_prompt("m"), now);
+        selection.loads.start_request(&chosen, 0, 180.0);
         *counts.entry(chosen).or_default() += 1;
     }
     assert_eq!(counts.values().copied().collect::<Vec<_>>(), [10, 10]);
 }
 
 #[test]
-fn what_other_nodes_sent_counts_like_what_was_sent_here() {
+fn load_from_other_nodes_counts_like_own_load() {
     let (a, b) = (server("a", "east", &["m"]), server("b", "east", &["m"]));
-    let (mut desk, now) = (Desk::default(), Instant::now());
+    let (mut selection, now) = (SelectionState::default(), Instant::now());
     let busy = ServerLoad { prefill_ms: [900.0, 0.0, 0.0], running: 5 };
-    desk.loads.set_other_nodes(HashMap::from([("a".into(), busy)]));
-    assert_eq!(&*desk.choose(&[near(&a), near(&b)], &draft("m"), now), "b");
+    selection.loads.set_other_nodes(HashMap::from([("a".into(), busy)]));
+    assert_eq!(
+        &*selection.choose(&[same_domain(&a), same_domain(&b)], &long_prompt("m"), now),
+        "b"
+    );
 }
 
 #[test]
 fn a_cached_prefix_outweighs_a_short_queue_but_not_a_long_one() {
     let (a, b) = (server("a", "east", &["m"]), server("b", "east", &["m"]));
-    let (mut desk, now) = (Desk::default(), Instant::now());
-    let asked = draft("m");
-    desk.prefixes.record(&a.id, a.incarnation, &asked.prefix_keys(), 250_000, now);
-    desk.loads.start_request(&a.id, 0, 50.0);
-    assert_eq!(&*desk.choose(&[near(&a), near(&b)], &asked, now), "a");
-    desk.loads.start_request(&a.id, 0, 400.0);
-    assert_eq!(&*desk.choose(&[near(&a), near(&b)], &asked, now), "b");
+    let (mut selection, now) = (SelectionState::default(), Instant::now());
+    let generation = long_prompt("m");
+    selection.prefixes.record(&a.id, a.incarnation, &generation.prefix_keys(), 250_000, now);
+    selection.loads.start_request(&a.id, 0, 50.0);
+    assert_eq!(&*selection.choose(&[same_domain(&a), same_domain(&b)], &generation, now), "a");
+    selection.loads.start_request(&a.id, 0, 400.0);
+    assert_eq!(&*selection.choose(&[same_domain(&a), same_domain(&b)], &generation, now), "b");
 }
 
 #[test]
-fn a_server_off_the_queue_copies_the_cached_beginning() {
+fn a_server_without_a_queue_copies_the_cached_prefix() {
     let (a, b) = (server("a", "east", &["m"]), server("b", "east", &["m"]));
     let now = Instant::now();
-    let mut desk = Desk { copy_ms_per_token: Some(0.001), ..Desk::default() };
-    let asked = draft("m");
-    desk.prefixes.record(&a.id, a.incarnation, &asked.prefix_keys()[..1].into(), 250_000, now);
-    let choose = |desk: &Desk| desk.choose_with_source(&[near(&a), near(&b)], &asked, now);
-    assert_eq!(choose(&desk), ("a".into(), None));
-    // Without the copy, reading the beginning anew takes longer than this queue.
-    desk.loads.start_request(&a.id, 0, 50.0);
-    assert_eq!(choose(&desk), ("b".into(), Some("a".into())));
-    desk.copy_ms_per_token = None;
-    assert_eq!(choose(&desk), ("a".into(), None));
+    let mut selection =
+        SelectionState { copy_ms_per_token: Some(0.001), ..SelectionState::default() };
+    let generation = long_prompt("m");
+    selection.prefixes.record(
+        &a.id,
+        a.incarnation,
+        &generation.prefix_keys()[..1].into(),
+        250_000,
+        now,
+    );
+    let choose = |selection: &SelectionState| {
+        selection.choose_with_source(&[same_domain(&a), same_domain(&b)], &generation, now)
+    };
+    assert_eq!(choose(&selection), ("a".into(), None));
+    // Without a copy, the prefill of the whole prompt at b takes longer than the queue at a.
+    selection.loads.start_request(&a.id, 0, 50.0);
+    assert_eq!(choose(&selection), ("b".into(), Some("a".into())));
+    selection.copy_ms_per_token = None;
+    assert_eq!(choose(&selection), ("a".into(), None));
 }
 
 #[test]
-fn a_short_beginning_is_read_rather_than_copied() {
+fn a_short_prefix_is_computed_rather_than_copied() {
     let (a, b) = (server("a", "east", &["m"]), server("b", "east", &["m"]));
     let now = Instant::now();
-    let mut desk = Desk { copy_ms_per_token: Some(0.001), ..Desk::default() };
+    let mut selection =
+        SelectionState { copy_ms_per_token: Some(0.001), ..SelectionState::default() };
     let parts = [PromptPart { id: 7, tokens: 200 }, PromptPart { id: 8, tokens: 600 }];
-    let asked = Generation { prompt_tokens: 800, parts: parts.into_iter().collect(), ..draft("m") };
-    desk.prefixes.record(&a.id, a.incarnation, &asked.prefix_keys()[..1].into(), 250_000, now);
-    desk.loads.start_request(&a.id, 0, 50.0);
-    let chosen = desk.choose_with_source(&[near(&a), near(&b)], &asked, now);
+    let generation =
+        Generation { prompt_tokens: 800, parts: parts.into_iter().collect(), ..long_prompt("m") };
+    selection.prefixes.record(
+        &a.id,
+        a.incarnation,
+        &generation.prefix_keys()[..1].into(),
+        250_000,
+        now,
+    );
+    selection.loads.start_request(&a.id, 0, 50.0);
+    let chosen =
+        selection.choose_with_source(&[same_domain(&a), same_domain(&b)], &generation, now);
     assert_eq!(chosen, ("b".into(), None));
 }
 
 #[test]
 fn a_restarted_server_has_nothing_cached() {
-    let (mut map, now) = (PrefixCacheIndex::default(), Instant::now());
-    let keys = draft("m").prefix_keys();
-    map.record(&"a".into(), 1, &keys, 250_000, now);
-    assert_eq!(map.cached_tokens("a", 1, &keys), 9_190);
-    assert_eq!(map.cached_tokens("a", 2, &keys), 0);
+    let (mut index, now) = (PrefixCacheIndex::default(), Instant::now());
+    let keys = long_prompt("m").prefix_keys();
+    index.record(&"a".into(), 1, &keys, 250_000, now);
+    assert_eq!(index.cached_tokens("a", 1, &keys), 9_190);
+    assert_eq!(index.cached_tokens("a", 2, &keys), 0);
 }
 
 #[test]
-fn a_full_cache_forgets_its_oldest_parts() {
-    let (mut map, now) = (PrefixCacheIndex::default(), Instant::now());
+fn a_full_cache_evicts_its_least_recently_used_parts() {
+    let (mut index, now) = (PrefixCacheIndex::default(), Instant::now());
     let prompt = |id: u64| {
-        let mut asked = draft("m");
-        asked.parts = [PromptPart { id, tokens: 1_000 }].into_iter().collect();
-        asked.prefix_keys()
+        let mut generation = long_prompt("m");
+        generation.parts = [PromptPart { id, tokens: 1_000 }].into_iter().collect();
+        generation.prefix_keys()
     };
     for id in 0..11 {
-        map.record(&"a".into(), 1, &prompt(id), 10_000, now + ms(id));
+        index.record(&"a".into(), 1, &prompt(id), 10_000, now + ms(id));
     }
-    assert_eq!(map.cached_tokens("a", 1, &prompt(0)), 0);
-    assert_eq!(map.cached_tokens("a", 1, &prompt(10)), 1_000);
+    assert_eq!(index.cached_tokens("a", 1, &prompt(0)), 0);
+    assert_eq!(index.cached_tokens("a", 1, &prompt(10)), 1_000);
 }
 
 #[test]
 fn a_server_that_fails_part_of_its_requests_gets_little_work() {
     let (a, b) = (server("a", "east", &["m"]), server("b", "east", &["m"]));
-    let (mut desk, now) = (Desk::default(), Instant::now());
+    let (mut selection, now) = (SelectionState::default(), Instant::now());
     for failed in [true, false, true, false, true] {
         let outcome = if failed { ServerOutcome::Failed } else { ServerOutcome::Answered };
-        desk.health.record_outcome(&a.id, outcome, now);
+        selection.health.record_outcome(&a.id, outcome, now);
     }
-    desk.loads.start_request(&b.id, 0, 300.0);
-    assert_eq!(&*desk.choose(&[near(&a), near(&b)], &draft("m"), now), "b");
+    selection.loads.start_request(&b.id, 0, 300.0);
+    assert_eq!(
+        &*selection.choose(&[same_domain(&a), same_domain(&b)], &long_prompt("m"), now),
+        "b"
+    );
 }
 
 #[test]
-fn an_unreachable_server_is_left_alone_for_a_while_and_tried_again() {
+fn an_unreachable_server_is_paused_and_then_tried_again() {
     let (mut health, now) = (HealthTracker::default(), Instant::now());
     health.record_outcome(&"a".into(), ServerOutcome::Unreachable, now);
     assert!(health.is_paused("a", now + ms(200)));
@@ -202,20 +226,22 @@
 }
 
 #[test]
-fn a_far_server_is_asked_only_when_near_ones_would_take_longer() {
+fn a_server_in_another_region_is_chosen_only_when_local_ones_would_take_longer() {
     let (a, far) = (server("a", "east", &["m"]), server("far", "west", &["m"]));
-    let (mut desk, now) = (Desk::default(), Instant::now());
-    let candidates =
-        [near(&a), Candidate { server: &far, distance: Distance::OtherRegion, adapter_orders: 0 }];
-    desk.loads.start_request(&a.id, 0, 60.0);
-    assert_eq!(&*desk.choose(&candidates, &draft("m"), now), "a");
-    desk.loads.start_request(&a.id, 0, 200.0);
-    assert_eq!(&*desk.choose(&candidates, &draft("m"), now), "far");
+    let (mut selection, now) = (SelectionState::default(), Instant::now());
+    let candidates = [
+        same_domain(&a),
+        Candidate { server: &far, distance: Distance::OtherRegion, adapter_orders: 0 },
+    ];
+    selection.loads.start_request(&a.id, 0, 60.0);
+    assert_eq!(&*selection.choose(&candidates, &long_prompt("m"), now), "a");
+    selection.loads.start_request(&a.id, 0, 200.0);
+    assert_eq!(&*selection.choose(&candidates, &long_prompt("m"), now), "far");
 }
 
 #[test]
-fn a_flood_is_refused_at_once_where_its_first_token_cannot_come() {
-    let prospect = |expected| AdmissionInput {
+fn a_request_whose_first_token_would_come_too_late_is_refused_at_once() {
+    let input = |expected| AdmissionInput {
         rank: 2,
         expected_latency: ms(expected),
         elapsed: Duration::ZERO,
@@ -223,25 +249,19 @@
         target_latency: ms(800),
         time_left: ms(5_000),
     };
-    assert_matches!(
-        decide_admission(&prospect(200), 0.5),
-        AdmissionDecision::Admit { priority: 6 }
-    );
-    assert_matches!(
-        decide_admission(&prospect(900), 0.5),
-        AdmissionDecision::Admit { priority: 8 }
-    );
-    let refused = decide_admission(&prospect(9_000), 0.0);
+    assert_matches!(decide_admission(&input(200), 0.5), AdmissionDecision::Admit { priority: 6 });
+    assert_matches!(decide_admission(&input(900), 0.5), AdmissionDecision::Admit { priority: 8 });
+    let refused = decide_admission(&input(9_000), 0.0);
     assert_matches!(refused, AdmissionDecision::Refuse { retry_after } if retry_after >= ms(8_600));
 }
 
-/// Replays a flood: prompts of 240 ms each arrive twice as fast as one server reads them. Returns the
-/// time to the first token of each that was served, in milliseconds.
-fn flood_at_one_server() -> Vec<u64> {
+/// Simulates a flood: requests with a prefill of 240 ms each arrive twice as fast as one server can
+/// process them. Returns the time to the first token of each admitted request, in milliseconds.
+fn simulate_flood_at_one_server() -> Vec<u64> {
     let (mut free_at, mut served) = (0, Vec::new());
     for arrival in (0..6_000).step_by(120) {
         let start = arrival.max(free_at);
-        let prospect = AdmissionInput {
+        let input = AdmissionInput {
             rank: 0,
             expected_latency: ms(start + 240 - arrival),
             elapsed: Duration::ZERO,
@@ -249,7 +269,7 @@
             target_latency: ms(800),
             time_left: ms(5_000),
         };
-        if matches!(decide_admission(&prospect, 0.5), AdmissionDecision::Admit { .. }) {
+        if matches!(decide_admission(&input, 0.5), AdmissionDecision::Admit { .. }) {
             free_at = start + 240;
             served.push(free_at - arrival);
         }
@@ -258,15 +278,15 @@
 }
 
 #[test]
-fn a_flood_leaves_a_queue_that_is_served_on_time_or_nearly() {
-    let served = flood_at_one_server();
-    assert!(served.len() >= 25, "the server is kept busy: {}", served.len());
+fn admitted_requests_of_a_flood_are_served_on_time_or_slightly_late() {
+    let served = simulate_flood_at_one_server();
+    assert!(served.len() >= 25, "only {} requests were admitted", served.len());
     assert!(served.iter().all(|took| *took <= 1_000), "{served:?}");
 }
 
 #[test]
-fn who_waited_for_a_model_is_not_refused_for_that_wait() {
-    let prospect = AdmissionInput {
+fn a_request_is_not_refused_for_its_wait_for_a_model_load() {
+    let input = AdmissionInput {
         rank: 1,
         expected_latency: ms(300),
         elapsed: ms(4_000),
@@ -274,14 +294,14 @@
         target_latency: ms(1_500),
         time_left: ms(11_000),
     };
-    assert_matches!(decide_admission(&prospect, 0.5), AdmissionDecision::Admit { .. });
-    let queued = AdmissionInput { queue_time: ms(1_800), ..prospect };
+    assert_matches!(decide_admission(&input, 0.5), AdmissionDecision::Admit { .. });
+    let queued = AdmissionInput { queue_time: ms(1_800), ..input };
     assert_matches!(decide_admission(&queued, 0.5), AdmissionDecision::Refuse { .. });
 }
 
 #[test]
-fn refused_callers_do_not_come_back_in_step() {
-    let prospect = AdmissionInput {
+fn refused_callers_are_told_different_retry_times() {
+    let input = AdmissionInput {
         rank: 0,
         expected_latency: ms(9_000),
         elapsed: Duration::ZERO,
@@ -289,13 +309,13 @@
         target_latency: ms(800),
         time_left: ms(5_000),
     };
-    assert!(decide_admission(&prospect, 0.1) != decide_admission(&prospect, 0.9));
+    assert!(decide_admission(&input, 0.1) != decide_admission(&input, 0.9));
 }
 
 #[test]
-fn late_work_of_a_rank_goes_behind_work_that_can_be_on_time_but_before_the_next_rank() {
-    let judged = |rank, expected| {
-        let prospect = AdmissionInput {
+fn late_requests_of_a_rank_come_after_those_on_time_but_before_the_next_rank() {
+    let priority_of = |rank, expected| {
+        let input = AdmissionInput {
             rank,
             expected_latency: ms(expected),
             elapsed: Duration::ZERO,
@@ -303,13 +323,13 @@
             target_latency: ms(800),
             time_left: ms(5_000),
         };
-        match decide_admission(&prospect, 0.0) {
+        match decide_admission(&input, 0.0) {
             AdmissionDecision::Admit { priority } => priority,
-            AdmissionDecision::Refuse { .. } => panic!("there is time"),
+            AdmissionDecision::Refuse { .. } => panic!("the request can be on time"),
         }
     };
-    assert!(judged(0, 100) < judged(0, 1_000));
-    assert!(judged(0, 1_000) < judged(1, 100));
+    assert!(priority_of(0, 100) < priority_of(0, 1_000));
+    assert!(priority_of(0, 1_000) < priority_of(1, 100));
 }
 
 #[test]
@@ -319,47 +339,54 @@
     let nodes = 9;
     let mut budgets: Vec<RetryBudget> =
         (0..nodes).map(|_| RetryBudget::new(bound, nodes)).collect();
-    // Every request fails and every node repeats as often as it may, for many windows on end.
+    // Every request fails, and every node retries as often as its budget allows, for many windows.
     for _ in 0..50 {
-        let (mut requests, mut repeats) = (0.0, 0.0);
+        let (mut requests, mut retries) = (0.0, 0.0);
         for budget in &mut budgets {
             for _ in 0..40 {
                 requests += 1.0;
                 budget.on_request(&service);
                 while budget.try_take(&service) {
-                    repeats += 1.0;
+                    retries += 1.0;
                 }
             }
         }
-        assert!(repeats <= bound.ratio * requests + bound.extra, "{repeats} of {requests}");
+        assert!(
+            retries <= bound.ratio * requests + bound.extra,
+            "{retries} retries of {requests} requests"
+        );
     }
 }
 
+/// The first order comes a whole hand-over time after the leadership was acquired, and the last one
+/// before the store can give the lease to another node.
 #[test]
 fn a_holder_waits_a_whole_turn_and_stops_before_its_lease_can_lapse() {
-    let (now, lease, turn) = (Instant::now(), ms(2_000), ms(3_000));
-    let mut duty = Leadership::new(lease);
-    duty.on_acquired(41, now, now, turn);
-    assert_eq!(duty.active_token(now + ms(100)), None);
+    let (now, time_to_live, hand_over) = (Instant::now(), ms(2_000), ms(3_000));
+    let mut leadership = Leadership::new(time_to_live);
+    leadership.on_acquired(41, now, now, hand_over);
+    assert_eq!(leadership.active_token(now + ms(100)), None);
     for step in 1..=4 {
-        duty.on_renewed(now + ms(700 * step));
+        leadership.on_renewed(now + ms(700 * step));
     }
-    assert_eq!(duty.active_token(now + ms(3_100)), Some(41));
-    // The last renewal was sent at 2,800 ms, so the store may give the duty away at 4,800 ms.
-    assert_eq!(duty.active_token(now + ms(4_700)), None);
+    assert_eq!(leadership.active_token(now + ms(3_100)), Some(41));
+    // The last renewal was sent at 2,800 ms, so the store may give the lease to another node at
+    // 4,800 ms.
+    assert_eq!(leadership.active_token(now + ms(4_700)), None);
 }
 
+/// Guards against a leader that gives orders after its process was suspended beyond its lease.
 #[test]
 fn a_thawed_holder_gives_no_order() {
-    let (now, lease) = (Instant::now(), ms(2_000));
-    let mut duty = Leadership::new(lease);
-    duty.on_acquired(41, now, now, Duration::ZERO);
-    assert_eq!(duty.active_token(now), Some(41));
-    assert_eq!(duty.active_token(now + Duration::from_secs(6)), None);
+    let (now, time_to_live) = (Instant::now(), ms(2_000));
+    let mut leadership = Leadership::new(time_to_live);
+    leadership.on_acquired(41, now, now, Duration::ZERO);
+    assert_eq!(leadership.active_token(now), Some(41));
+    assert_eq!(leadership.active_token(now + Duration::from_secs(6)), None);
 }
 
 #[test]
-fn entries_that_lapse_in_an_outage_of_the_store_stay_for_two_seconds() {
+fn entries_lost_in_a_store_outage_are_kept_for_two_seconds() {
     let (mut registry, now) = (Registry::default(), Instant::now());
     registry.put(server("a", "east", &["m"]));
     registry.put(server("b", "east", &["m"]));
@@ -370,14 +397,14 @@
 }
 
 #[test]
-fn an_entry_that_is_missing_from_a_listing_without_an_outage_goes_at_once() {
+fn an_entry_missing_from_a_listing_without_an_outage_is_removed_at_once() {
     let (mut registry, now) = (Registry::default(), Instant::now());
     registry.put(server("a", "east", &["m"]));
     registry.replace(Vec::new(), false, now);
     assert!(registry.servers().is_empty());
 }
 
-/// A failure domain with its copies and demand.
+/// A failure domain with the input of its placement decisions.
 struct Domain {
     name: Name,
     servers: Vec<BackendServer>,
@@ -411,11 +438,11 @@
     }
 
     fn next(&self, store_load_allowed: bool) -> Option<(Name, Name)> {
-        self.next_beside(store_load_allowed, &BTreeMap::new())
+        self.next_with_requests(store_load_allowed, &BTreeMap::new())
     }
 
-    /// Returns the next load while so many requests use each model.
-    fn next_beside(
+    /// Returns the server and the model of the next load, given the requests in flight.
+    fn next_with_requests(
         &self,
         store_load_allowed: bool,
         requests_by_model: &BTreeMap<Name, u32>,
@@ -451,7 +478,7 @@
             assert_ne!(
                 protected_holder(model, holders),
                 Some(&chosen.server),
-                "the last copy goes"
+                "the last copy is evicted"
             );
         }
         Some((chosen.server, chosen.load))
@@ -459,7 +486,7 @@
 }
 
 #[test]
-fn demand_that_moves_to_a_model_elsewhere_brings_a_copy_here() {
+fn demand_for_a_model_held_only_elsewhere_loads_a_copy_in_the_domain() {
     let mut domain = Domain::new(&[("a", &["m0", "m1"])], &["m2"]);
     assert_eq!(domain.next(true), None);
     domain.demand.insert("m2".into(), 0.3);
@@ -467,17 +494,17 @@
 }
 
 #[test]
-fn the_domains_of_a_region_bring_as_many_copies_as_their_callers_need_together() {
-    // Each of three domains asks for a quarter of a server's work: two copies serve them all.
+fn the_domains_of_a_region_together_load_as_many_copies_as_their_demand_needs() {
+    // Each of three domains has a demand of 0.25 servers: two copies suffice for all of them.
     let domains: [Name; 3] = ["east".into(), "north".into(), "south".into()];
-    let asked = HashMap::from([("m2".into(), 0.25)]);
+    let demand = HashMap::from([("m2".into(), 0.25)]);
     let loads = domains.iter().filter(|own| {
         let mut domain = Domain::new(&[("a", &["m0", "m1"])], &["m2"]);
         domain.name = (*own).clone();
-        domain.demand.clone_from(&asked);
+        domain.demand.clone_from(&demand);
         let others = domains.iter().filter(|name| name != own).map(|name| NeighbourDomain {
             domain: name.clone(),
-            demand: asked.clone(),
+            demand: demand.clone(),
             ..NeighbourDomain::default()
         });
         domain.neighbours = others.collect();
@@ -487,7 +514,7 @@
 }
 
 #[test]
-fn a_copy_in_the_next_domain_of_the_region_serves_a_first_request_here() {
+fn a_copy_in_a_neighbour_domain_is_enough_for_low_demand() {
     let mut domain = Domain::new(&[("a", &["m0", "m1"])], &["m2"]);
     domain.demand.insert("m2".into(), 0.2);
     domain.neighbours = vec![NeighbourDomain {
@@ -501,11 +528,11 @@
 }
 
 #[test]
-fn a_copy_that_streams_do_not_use_makes_way_before_one_that_they_use() {
+fn a_copy_without_streams_is_evicted_before_one_with_streams() {
     let three = ["m0", "m1", "m4"];
     let mut domain = Domain::new(&[("a", &three), ("b", &three)], &["m0", "m1", "m2", "m4"]);
     domain.demand.extend([("m2".into(), 0.4), ("m0".into(), 0.02)]);
-    // Server a holds a model that nobody asks for, but streams of it are under way.
+    // Server a holds a model without demand, but with a stream in flight.
     domain.servers[1].models.retain(|model| &*model.name == "m0");
     domain.servers[1].models.extend(server("b", "east", &["m3", "m5"]).models);
     domain.holders.extend([
@@ -514,11 +541,11 @@
     ]);
     domain.demand.extend([("m3".into(), 0.05), ("m5".into(), 0.05)]);
     let streams = BTreeMap::from([("m0".into(), 1), ("m1".into(), 1), ("m4".into(), 1)]);
-    assert_eq!(domain.next_beside(true, &streams), Some(("b".into(), "m2".into())));
+    assert_eq!(domain.next_with_requests(true, &streams), Some(("b".into(), "m2".into())));
 }
 
 #[test]
-fn a_single_request_moves_nothing() {
+fn a_single_request_does_not_cause_a_load() {
     let mut average = DemandAverage::default();
     let (now, model) = (Instant::now(), Name::from("m2"));
     average.observe(&HashMap::new(), now);
@@ -534,7 +561,7 @@
 }
 
 #[test]
-fn a_model_that_requests_wait_for_goes_before_one_that_nobody_asks_for() {
+fn a_missing_model_that_requests_wait_for_is_loaded_first() {
     let mut domain = Domain::new(&[("a", &["m0", "m1"])], &[]);
     domain.missing.insert("m2".into(), MissingModel::NotRequested);
     domain.missing.insert("m3".into(), MissingModel::Requested);
@@ -551,7 +578,7 @@
 }
 
 #[test]
-fn without_leave_from_the_weight_store_only_disks_and_memory_are_used() {
+fn models_load_only_from_disk_or_memory_while_store_loads_are_not_allowed() {
     let mut domain = Domain::new(&[("a", &["m0"]), ("b", &["m1"])], &["m2"]);
     domain.demand.insert("m2".into(), 0.3);
     assert_eq!(domain.next(false), None);
@@ -563,20 +590,20 @@
 fn loads_of_all_domains_together_stay_within_the_weight_stores_rate() {
     let (rate, window, domains) = (2.1, Duration::from_secs(5), 3);
     let now = Instant::now();
-    let mut allowances: Vec<LoadRateLimiter> =
+    let mut limiters: Vec<LoadRateLimiter> =
         (0..domains).map(|_| LoadRateLimiter::new(rate, window, domains)).collect();
-    let mut begun: Vec<Instant> = Vec::new();
+    let mut started: Vec<Instant> = Vec::new();
     for step in 0..400 {
         let at = now + ms(50 * step);
-        for allowance in &mut allowances {
-            if allowance.may_start_load(at) {
-                allowance.record_load(at);
-                begun.push(at);
+        for limiter in &mut limiters {
+            if limiter.may_start_load(at) {
+                limiter.record_load(at);
+                started.push(at);
             }
         }
     }
-    for start in &begun {
-        let within = begun.iter().filter(|at| **at >= *start && **at < *start + window).count();
+    for start in &started {
+        let within = started.iter().filter(|at| **at >= *start && **at < *start + window).count();
         assert!(within as f64 <= rate * window.as_secs_f64(), "{within} loads in a window");
     }
 }
@@ -584,23 +611,23 @@
 #[test]
 fn a_new_holder_counts_the_window_as_used() {
     let now = Instant::now();
-    let mut allowance = LoadRateLimiter::new(2.1, Duration::from_secs(5), 3);
-    allowance.assume_exhausted(now);
-    assert!(!allowance.may_start_load(now + ms(4_900)));
-    assert!(allowance.may_start_load(now + ms(5_000)));
+    let mut limiter = LoadRateLimiter::new(2.1, Duration::from_secs(5), 3);
+    limiter.assume_exhausted(now);
+    assert!(!limiter.may_start_load(now + ms(4_900)));
+    assert!(limiter.may_start_load(now + ms(5_000)));
 }
 
 #[test]
-fn every_node_finds_the_same_owner_of_a_missing_model() {
+fn every_node_computes_the_same_restoring_domain_for_a_missing_model() {
     let domains: Vec<Name> = vec!["east".into(), "west".into(), "south".into()];
     let reversed: Vec<Name> = domains.iter().rev().cloned().collect();
-    let mut owners: BTreeMap<Name, u32> = BTreeMap::new();
+    let mut counts: BTreeMap<Name, u32> = BTreeMap::new();
     for number in 0..300 {
         let model = format!("m{number}");
         let found = restoring_domain(&model, domains.iter()).expect("there are domains");
         assert_eq!(Some(found), restoring_domain(&model, reversed.iter()));
-        *owners.entry(found.clone()).or_default() += 1;
+        *counts.entry(found.clone()).or_default() += 1;
     }
-    assert!(owners.values().all(|count| *count > 60), "{owners:?}");
+    assert!(counts.values().all(|count| *count > 60), "{counts:?}");
     assert_eq!(WeightSource::Memory.min(WeightSource::Store), WeightSource::Memory);
 }
--- a/savoryport_core/tests/node_support/mod.rs
+++ b/savoryport_core/tests/node_support/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment for tests of a node's decisions.
+//! A small deployment for tests of the decisions of a node.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Returns engines with room for three models and four adapters.
+/// Returns an engine class with memory for three models and four adapter slots.
 pub fn class() -> EngineClass {
     let spec = |number: usize| ModelSpec {
         name: format!("m{number}").into(),
