--- a/savoryport_core/tests/order_search.rs
+++ b/savoryport_core/tests/order_search.rs
@@ -1,5 +1,5 @@
-//! Searches interleavings of orders that are late, lost and repeated, of holders that take over, and of
-//! servers that restart, for memory or places overcommitted.
+//! Searches random interleavings of late, lost and repeated orders, changes of the leader and
+//! restarts of the server for one that overcommits the server's memory or adapter slots.
 
 mod node_support;
 
@@ -13,13 +13,14 @@
 use savoryport_core::node::deployment::EngineClass;
 use savoryport_core::node::orders::{EngineContents, EngineReport, Order, OrderAnswer};
 
-/// Interleavings that one run tries.
-const RUNS: u64 = 20_000;
+/// The number of interleavings that a search tries.
+const INTERLEAVINGS: u64 = 20_000;
 
-/// Steps of one interleaving.
+/// The number of steps of one interleaving.
 const STEPS: usize = 60;
 
-/// A server that compares and swaps by its count of orders, as the platform's pages describe.
+/// A server that executes an order only if the order expects its count of accepted orders, as the
+/// platform's documentation describes.
 #[derive(Clone, Default)]
 struct FakeServer {
     incarnation: u64,
@@ -29,8 +30,8 @@
 }
 
 impl FakeServer {
-    fn take(&mut self, order: &Order, expected: u64) -> OrderAnswer {
-        if self.busy || expected != self.accepted {
+    fn execute(&mut self, order: &Order, expected_orders: u64) -> OrderAnswer {
+        if self.busy || expected_orders != self.accepted {
             return OrderAnswer::Conflict;
         }
         if self.already_holds(order) {
@@ -94,14 +95,15 @@
     }
 }
 
-/// Plays one interleaving; `precondition` false sends orders without the expected count.
-fn play(seed: u64, precondition: bool) {
+/// Runs one random interleaving. Without `check_expected`, the server accepts orders whatever count
+/// they expect.
+fn run_interleaving(seed: u64, check_expected: bool) {
     let (mut rng, class) = (SmallRng::seed_from_u64(seed), class());
     let mut server = FakeServer { incarnation: 1, ..FakeServer::default() };
     let mut reports = vec![server.report()];
-    let mut late: Vec<(Order, u64, u64)> = Vec::new();
-    let mut ledgers = [EngineContents::default(), EngineContents::default()];
-    let mut holder = 0;
+    let mut delayed: Vec<(Order, u64, u64)> = Vec::new();
+    let mut contents_by_leader = [EngineContents::default(), EngineContents::default()];
+    let mut leader = 0;
     let mut now = Instant::now();
     for _ in 0..STEPS {
         now += Duration::from_millis(rng.random_range(1..200));
@@ -112,43 +114,43 @@
                 server = FakeServer { incarnation, ..FakeServer::default() };
             }
             2 => {
-                holder = 1 - holder;
-                ledgers[holder].invalidate();
+                leader = 1 - leader;
+                contents_by_leader[leader].invalidate();
             }
-            3 if !late.is_empty() => {
+            3 if !delayed.is_empty() => {
                 let (order, expected, incarnation) =
-                    late.swap_remove(rng.random_range(0..late.len()));
-                // An order names the server that it is for, so that another start refuses it.
+                    delayed.swap_remove(rng.random_range(0..delayed.len()));
+                // An order names the incarnation that it is for, so that another one refuses it.
                 if incarnation == server.incarnation {
-                    let expected = if precondition { expected } else { server.accepted };
-                    server.take(&order, expected);
+                    let expected = if check_expected { expected } else { server.accepted };
+                    server.execute(&order, expected);
                 }
             }
             4 => {
-                // Reports lag: an older one may come.
+                // Reports can be stale: an older one may arrive.
                 let lag = rng.random_range(0..reports.len().min(3));
                 let report = reports[reports.len() - 1 - lag].clone();
-                ledgers[holder].apply_report(&report, now);
+                contents_by_leader[leader].apply_report(&report, now);
             }
             _ => {
                 let order = random_order(&mut rng);
-                let ledger = &mut ledgers[holder];
-                let Some(expected) = ledger.expected_orders() else { continue };
-                if ledger.check(&order, &class, now).is_err() {
+                let contents = &mut contents_by_leader[leader];
+                let Some(expected) = contents.expected_orders() else { continue };
+                if contents.check(&order, &class, now).is_err() {
                     continue;
                 }
-                let incarnation = ledger.incarnation();
+                let incarnation = contents.incarnation();
                 let answer = if rng.random_bool(0.2) {
-                    late.push((order.clone(), expected, incarnation));
+                    delayed.push((order.clone(), expected, incarnation));
                     OrderAnswer::Unanswered
                 } else if incarnation != server.incarnation {
                     OrderAnswer::Rejected
                 } else {
-                    let expected = if precondition { expected } else { server.accepted };
-                    let answer = server.take(&order, expected);
+                    let expected = if check_expected { expected } else { server.accepted };
+                    let answer = server.execute(&order, expected);
                     if rng.random_bool(0.1) { OrderAnswer::Unanswered } else { answer }
                 };
-                ledger.apply_answer(&order, answer, Duration::ZERO, now);
+                contents.apply_answer(&order, answer, Duration::ZERO, now);
             }
         }
         server.assert_fits(&class, seed);
@@ -169,16 +171,16 @@
 
 #[test]
 fn no_interleaving_of_orders_overcommits_a_server() {
-    for seed in 0..RUNS {
-        play(seed, true);
+    for seed in 0..INTERLEAVINGS {
+        run_interleaving(seed, true);
     }
 }
 
 #[test]
 #[should_panic(expected = "ordered")]
-fn the_search_finds_orders_without_the_expected_count() {
-    for seed in 0..RUNS {
-        play(seed, false);
+fn the_search_detects_overcommitment_when_expected_counts_are_ignored() {
+    for seed in 0..INTERLEAVINGS {
+        run_interleaving(seed, false);
     }
 }
 
@@ -186,13 +188,13 @@
 fn a_report_from_before_an_accepted_order_changes_nothing() {
     let (class, now) = (class(), Instant::now());
     let mut server = FakeServer { incarnation: 1, ..FakeServer::default() };
-    let mut ledger = EngineContents::default();
+    let mut contents = EngineContents::default();
     let old = server.report();
-    assert!(ledger.apply_report(&old, now));
+    assert!(contents.apply_report(&old, now));
     let order = Order::LoadModel("m0".into());
-    assert_eq!(ledger.check(&order, &class, now), Ok(()));
-    let answer = server.take(&order, 0);
-    ledger.apply_answer(&order, answer, Duration::ZERO, now);
-    assert!(!ledger.apply_report(&old, now));
-    assert!(ledger.holds("m0"));
+    assert_eq!(contents.check(&order, &class, now), Ok(()));
+    let answer = server.execute(&order, 0);
+    contents.apply_answer(&order, answer, Duration::ZERO, now);
+    assert!(!contents.apply_report(&old, now));
+    assert!(contents.holds("m0"));
 }
