--- a/savoryport_core/tests/node_decisions.rs
+++ b/savoryport_core/tests/node_decisions.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use assert_matches::assert_matches;
-use node_support::{class, server};
+use node_support::{engine_class, server};
 use savoryport_core::Name;
 use savoryport_core::node::admission::{AdmissionDecision, AdmissionInput, decide_admission};
 use savoryport_core::node::health::{HealthTracker, ServerOutcome};
@@ -447,7 +447,7 @@
         store_load_allowed: bool,
         requests_by_model: &BTreeMap<Name, u32>,
     ) -> Option<(Name, Name)> {
-        let class = class();
+        let class = engine_class();
         let servers: Vec<PlacementServer<'_>> = self
             .servers
             .iter()
--- a/savoryport_core/tests/node_support/mod.rs
+++ b/savoryport_core/tests/node_support/mod.rs
@@ -31,7 +31,7 @@
 }
 
 /// Returns an engine class with memory for three models and four adapter slots.
-pub fn class() -> EngineClass {
+pub fn engine_class() -> EngineClass {
     let spec = |number: usize| ModelSpec {
         name: format!("m{number}").into(),
         memory_mb: 70_000.0,
--- a/savoryport_core/tests/order_search.rs
+++ b/savoryport_core/tests/order_search.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use node_support::class;
+use node_support::engine_class;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use savoryport_core::Name;
@@ -98,7 +98,7 @@
 /// Runs one random interleaving. Without `check_expected`, the server accepts orders whatever count
 /// they expect.
 fn run_interleaving(seed: u64, check_expected: bool) {
-    let (mut rng, class) = (SmallRng::seed_from_u64(seed), class());
+    let (mut rng, class) = (SmallRng::seed_from_u64(seed), engine_class());
     let mut server = FakeServer { incarnation: 1, ..FakeServer::default() };
     let mut reports = vec![server.report()];
     let mut delayed: Vec<(Order, u64, u64)> = Vec::new();
@@ -186,7 +186,7 @@
 
 #[test]
 fn a_report_from_before_an_accepted_order_changes_nothing() {
-    let (class, now) = (class(), Instant::now());
+    let (class, now) = (engine_class(), Instant::now());
     let mut server = FakeServer { incarnation: 1, ..FakeServer::default() };
     let mut contents = EngineContents::default();
     let old = server.report();
