--- a/savoryport_core/src/node/placement.rs
+++ b/savoryport_core/src/node/placement.rs
@@ -5,7 +5,7 @@
 //! each domain holds its part of them. The last copy of a model is never evicted, so that every
 //! model stays reachable.
 //!
-//! Demand and the worth of copies are given in servers: a demand of 1 takes all the time of one
+//! Demand and the value of copies are measured in servers: a demand of 1 takes all the time of one
 //! server.
 
 use std::collections::{BTreeMap, HashMap};
@@ -25,18 +25,18 @@
 /// stay below it.
 const FIRST_COPY_DEMAND: f64 = 0.12;
 
-/// A copy is evicted only for one that is worth at least this many times as much.
+/// A copy is evicted only for one whose value is at least this many times as high.
 const MIN_GAIN_FACTOR: f64 = 1.5;
 
 /// A copy that is younger than this is not evicted, so that two models do not displace each other
 /// in turn.
 const MIN_COPY_AGE: Duration = Duration::from_secs(4);
 
-/// The worth, in servers, of a copy of a model that no server holds and no request waits for.
+/// The value, in servers, of a copy of a model that no server holds and no request waits for.
 /// Overloaded models come first: this one can still be loaded when a request arrives.
 const NOT_REQUESTED_VALUE: f64 = 0.1;
 
-/// The worth, in servers, of a copy of a model that no server holds and requests wait for.
+/// The value, in servers, of a copy of a model that no server holds and requests wait for.
 const REQUESTED_VALUE: f64 = 0.4;
 
 /// The source of a model's weights for a load, the fastest first.
@@ -145,7 +145,7 @@
     pub load: Name,
     /// The source of the weights.
     pub source: WeightSource,
-    /// The worth of the new copy, in servers.
+    /// The value of the new copy, in servers.
     pub value: f64,
 }
 
@@ -232,7 +232,7 @@
     quota(own_demand).floor() as usize + usize::from(domains_before < unassigned)
 }
 
-/// Returns the worth of one more copy of the model in servers, or 0 if none is needed.
+/// Returns the value of one more copy of the model in servers, or 0 if none is needed.
 fn copy_value(input: &PlacementInput<'_>, copies: &CopyCounts, model: &Name) -> f64 {
     let demand = region_demand(input, model);
     let (in_domain, in_region) = (copies.in_domain(model), copies.in_region(model));
@@ -319,7 +319,7 @@
     region_demand(input, model) / copies.in_region(model).max(1) as f64
 }
 
-/// Returns the copies to evict so that a model of this size fits, and what they are worth together.
+/// Returns the copies to evict so that a model of this size fits, and their total value.
 fn copies_to_evict(
     input: &PlacementInput<'_>,
     copies: &CopyCounts,
@@ -335,12 +335,12 @@
         .collect();
     evictable.sort_by(|a, b| a.1.total_cmp(&b.1));
     let (mut evicted, mut lost_value) = (SmallVec::new(), 0.0);
-    for (model, worth) in evictable {
+    for (model, value) in evictable {
         if free_mb >= spec.memory_mb {
             break;
         }
         free_mb += input.class.models.get(model).map_or(0.0, |spec| spec.memory_mb);
-        lost_value += worth;
+        lost_value += value;
         evicted.push(model.clone());
     }
     (free_mb >= spec.memory_mb).then_some((evicted, lost_value))
