--- a/savoryport/src/node/domain_controller.rs
+++ b/savoryport/src/node/domain_controller.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use savoryport_core::Name;
-use savoryport_core::node::duty::Duty;
-use savoryport_core::node::orders::EngineLedger;
+use savoryport_core::node::leadership::Leadership;
+use savoryport_core::node::orders::EngineContents;
 use savoryport_core::node::placement::{Move, WeightSource, load_time, weight_source};
 use savoryport_core::node::registry::BackendServer;
 use tokio::sync::oneshot;
@@ -34,7 +34,7 @@
     pub cancel: CancellationToken,
     /// The store's lease of the duty.
     pub lease: AtomicU64,
-    duty: Mutex<Duty>,
+    duty: Mutex<Leadership>,
     engines: Mutex<HashMap<Name, EngineHandle>>,
     /// What its placement remembers.
     pub planner: Mutex<Planner>,
@@ -75,7 +75,7 @@
     /// Closes a desk: no order leaves it any more.
     pub fn close(&self, controller: &DomainController) {
         controller.cancel.cancel();
-        controller.duty.lock().expect("no holder panics").lost();
+        controller.duty.lock().expect("no holder panics").on_lost();
         self.0.lock().expect("no holder panics").remove(&controller.domain);
     }
 
@@ -145,7 +145,7 @@
 
 impl DomainController {
     /// Makes a desk for a duty that was won.
-    pub fn new(domain: Name, lease: u64, duty: Duty) -> Self {
+    pub fn new(domain: Name, lease: u64, duty: Leadership) -> Self {
         Self {
             domain,
             cancel: CancellationToken::new(),
@@ -161,12 +161,12 @@
         if cx.stopping.is_cancelled() || self.cancel.is_cancelled() {
             return None;
         }
-        self.duty.lock().expect("no holder panics").may_order(cx.lease_clock.now())
+        self.duty.lock().expect("no holder panics").active_token(cx.lease_clock.now())
     }
 
     /// Notes a renewal that was sent at this time of the lease clock.
     pub fn renewed(&self, asked_at: Instant) {
-        self.duty.lock().expect("no holder panics").renewed(asked_at);
+        self.duty.lock().expect("no holder panics").on_renewed(asked_at);
     }
 
     /// Returns the id of the store's lease.
@@ -194,7 +194,7 @@
                 engines.insert(server.id.clone(), handle);
             }
             let Some(engine) = engines.get(&server.id) else { continue };
-            if engine.ledger().is_of_other_start(server.incarnation) {
+            if engine.ledger().is_other_incarnation(server.incarnation) {
                 engine.send(Command::Restarted);
             }
         }
@@ -203,7 +203,7 @@
 
 impl DomainController {
     /// Returns what the desk knows of its engines, for the status page.
-    pub fn engine_states(&self) -> Vec<(Name, EngineLedger, Option<Move>)> {
+    pub fn engine_states(&self) -> Vec<(Name, EngineContents, Option<Move>)> {
         let engines = self.engines.lock().expect("no holder panics");
         let known = engines.iter();
         known.map(|(id, engine)| (id.clone(), engine.ledger().clone(), engine.moving())).collect()
--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -7,7 +7,7 @@
 use savoryport_adapter::engine;
 use savoryport_core::Name;
 use savoryport_core::node::deployment::EngineClass;
-use savoryport_core::node::orders::{EngineLedger, Order, OrderAnswer, OrderObstacle};
+use savoryport_core::node::orders::{EngineContents, Order, OrderAnswer, OrderError};
 use savoryport_core::node::placement::{Move, load_time};
 use savoryport_core::node::registry::{BackendServer, ResidentModel};
 use tokio::sync::{mpsc, oneshot};
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone)]
 pub struct EngineHandle {
     commands: mpsc::UnboundedSender<Command>,
-    ledger: Arc<Mutex<EngineLedger>>,
+    ledger: Arc<Mutex<EngineContents>>,
     /// The move under way.
     moving: Arc<Mutex<Option<Move>>>,
 }
@@ -113,7 +113,7 @@
     }
 
     /// Locks the ledger for a moment.
-    pub fn ledger(&self) -> MutexGuard<'_, EngineLedger> {
+    pub fn ledger(&self) -> MutexGuard<'_, EngineContents> {
         self.ledger.lock().expect("no holder panics")
     }
 }
@@ -137,7 +137,7 @@
     cx: Arc<NodeContext>,
     controller: Arc<DomainController>,
     server: Name,
-    ledger: Arc<Mutex<EngineLedger>>,
+    ledger: Arc<Mutex<EngineContents>>,
     moving: Arc<Mutex<Option<Move>>>,
     draining: Option<Draining>,
     loading: Option<Loading>,
@@ -174,7 +174,7 @@
         }
     }
 
-    fn ledger(&self) -> MutexGuard<'_, EngineLedger> {
+    fn ledger(&self) -> MutexGuard<'_, EngineContents> {
         self.ledger.lock().expect("no holder panics")
     }
 
@@ -233,7 +233,7 @@
             match engine::report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await {
                 Ok(report) => {
                     self.cx.metrics.reports.inc();
-                    self.ledger().reset(&report, self.cx.now());
+                    self.ledger().apply_report(&report, self.cx.now());
                     self.publish();
                 }
                 Err(err) => log::debug!(server = &*self.server, err:% = err; "no report"),
@@ -251,7 +251,7 @@
         let now = self.cx.now();
         let is_recent = self.checked_at.is_some_and(|at| now - at < REPORT_PAUSE);
         let Some((server, _)) = self.target() else { return };
-        if is_recent || !self.ledger().is_of_other_start(server.incarnation) {
+        if is_recent || !self.ledger().is_other_incarnation(server.incarnation) {
             return;
         }
         self.checked_at = Some(now);
@@ -261,7 +261,7 @@
                     server = &*self.server, incarnation = report.incarnation;
                     "server restarted"
                 );
-                self.ledger().reset(&report, self.cx.now());
+                self.ledger().apply_report(&report, self.cx.now());
                 self.forget_moves();
                 self.publish();
             }
@@ -279,17 +279,13 @@
     }
 
     /// Gives an order if this node may; returns the server's answer.
-    async fn give(
-        &mut self,
-        order: &Order,
-        busy_for: Duration,
-    ) -> Result<OrderAnswer, OrderObstacle> {
-        let (server, class) = self.target().ok_or(OrderObstacle::Unknown)?;
-        let token = self.controller.active_token(&self.cx).ok_or(OrderObstacle::Unknown)?;
+    async fn give(&mut self, order: &Order, busy_for: Duration) -> Result<OrderAnswer, OrderError> {
+        let (server, class) = self.target().ok_or(OrderError::Unknown)?;
+        let token = self.controller.active_token(&self.cx).ok_or(OrderError::Unknown)?;
         let expected = {
             let ledger = self.ledger();
             ledger.check(order, &class, self.cx.now())?;
-            ledger.expected_orders().ok_or(OrderObstacle::Unknown)?
+            ledger.expected_orders().ok_or(OrderError::Unknown)?
         };
         let authority = engine::Authority {
             holder: &self.cx.settings.vm,
@@ -298,7 +294,7 @@
         };
         let answer =
             engine::order(&self.cx.order_pool, &server, order, authority, ORDER_TIMEOUT).await;
-        self.ledger().apply(order, answer, busy_for, self.cx.now());
+        self.ledger().apply_answer(order, answer, busy_for, self.cx.now());
         self.cx.metrics.note_order(order.name(), answer);
         log::info!(
             server = &*self.server, order = order.name(), model = &**order.model(),
@@ -350,8 +346,9 @@
                 Ok(OrderAnswer::AlreadyHolds) => return WishReply::Ready,
                 Ok(OrderAnswer::Rejected) => return WishReply::Unavailable,
                 Ok(OrderAnswer::Conflict | OrderAnswer::Unanswered) => {}
-                Err(OrderObstacle::NoPlace) => {
-                    let Some((model, adapter)) = self.ledger().adapter_victim(self.cx.now()) else {
+                Err(OrderError::NoAdapterSlot) => {
+                    let Some((model, adapter)) = self.ledger().evictable_adapter(self.cx.now())
+                    else {
                         return WishReply::Unavailable;
                     };
                     if self.drop_adapter(&model, &adapter).await.is_err() {
@@ -364,7 +361,7 @@
         WishReply::Unavailable
     }
 
-    async fn drop_adapter(&mut self, model: &Name, adapter: &Name) -> Result<(), OrderObstacle> {
+    async fn drop_adapter(&mut self, model: &Name, adapter: &Name) -> Result<(), OrderError> {
         let order = Order::UnloadAdapter { model: model.clone(), adapter: adapter.clone() };
         self.arriving.remove(&(model.clone(), adapter.clone()));
         self.give(&order, Duration::ZERO).await?;
@@ -383,14 +380,14 @@
         self.publish();
     }
 
-    async fn try_move(&mut self, wanted: &Move) -> Result<(), OrderObstacle> {
+    async fn try_move(&mut self, wanted: &Move) -> Result<(), OrderError> {
         for model in &wanted.unload {
             let order = Order::UnloadModel(model.clone());
             self.insist(&order, Duration::ZERO).await?;
             tokio::time::sleep(UNLOAD_PAUSE).await;
         }
-        let (_, class) = self.target().ok_or(OrderObstacle::Unknown)?;
-        let spec = class.models.get(&wanted.load).ok_or(OrderObstacle::NoModel)?;
+        let (_, class) = self.target().ok_or(OrderError::Unknown)?;
+        let spec = class.models.get(&wanted.load).ok_or(OrderError::ModelNotResident)?;
         let expected = load_time(spec, wanted.source);
         let order = Order::LoadModel(wanted.load.clone());
         if self.insist(&order, expected * MAX_LOAD_FACTOR).await? == OrderAnswer::Accepted {
@@ -407,20 +404,20 @@
         &mut self,
         order: &Order,
         busy_for: Duration,
-    ) -> Result<OrderAnswer, OrderObstacle> {
+    ) -> Result<OrderAnswer, OrderError> {
         for _ in 0..MAX_REPORTS {
             if !self.learn_contents().await {
-                return Err(OrderObstacle::Unknown);
+                return Err(OrderError::Unknown);
             }
             let answer = self.give(order, busy_for).await?;
             match answer {
                 OrderAnswer::Accepted | OrderAnswer::AlreadyHolds => return Ok(answer),
-                OrderAnswer::Rejected => return Err(OrderObstacle::Unknown),
+                OrderAnswer::Rejected => return Err(OrderError::Unknown),
                 OrderAnswer::Unanswered => {}
                 OrderAnswer::Conflict => tokio::time::sleep(REPORT_PAUSE).await,
             }
         }
-        Err(OrderObstacle::Busy)
+        Err(OrderError::Busy)
     }
 
     /// Asks a server that is loading whether it is done.
@@ -448,9 +445,9 @@
             self.end_move();
             let mut ledger = self.ledger();
             if is_done && !restarted {
-                ledger.settled();
+                ledger.clear_busy();
             } else {
-                ledger.doubt();
+                ledger.invalidate();
             }
             drop(ledger);
             self.publish();
@@ -485,7 +482,7 @@
 fn add_adapter(
     cx: &NodeContext,
     server: &Name,
-    ledger: &Mutex<EngineLedger>,
+    ledger: &Mutex<EngineContents>,
     (model, adapter): &(Name, Name),
 ) {
     let held = ledger.lock().expect("no holder panics").holds_adapter(model, adapter);
--- a/savoryport/src/node/in_flight.rs
+++ b/savoryport/src/node/in_flight.rs
@@ -36,7 +36,7 @@
             asked.map(|asked| (server.id.clone(), asked.model.clone(), asked.adapter.clone()));
         let cache_tokens = relay.engine_class().map(|class| class.cache_tokens);
         let mut routing = cx.routing.lock();
-        routing.loads.begin(&server.id, relay.route.rank, picked.prefill_ms);
+        routing.loads.start_request(&server.id, relay.route.rank, picked.prefill_ms);
         if let Some(key) = &copy {
             *routing.copies.entry(key.clone()).or_default() += 1;
         }
@@ -79,10 +79,10 @@
         }
         let took = self.cx.now() - self.sent_at;
         let mut routing = self.cx.routing.lock();
-        routing.loads.first_token(&self.server, self.rank, self.prefill_ms);
+        routing.loads.record_first_token(&self.server, self.rank, self.prefill_ms);
         if let Some(model) = &self.model {
             let expected_ms = self.expected.as_secs_f64() * 1e3;
-            routing.speeds.note_first_token(&self.server, model, expected_ms, took);
+            routing.speeds.record_first_token(&self.server, model, expected_ms, took);
         }
     }
 }
@@ -91,9 +91,9 @@
     fn drop(&mut self) {
         let mut routing = self.cx.routing.lock();
         if !self.has_first_token {
-            routing.loads.first_token(&self.server, self.rank, self.prefill_ms);
+            routing.loads.record_first_token(&self.server, self.rank, self.prefill_ms);
         }
-        routing.loads.end(&self.server);
+        routing.loads.end_request(&self.server);
         if let Some(key) = &self.copy
             && let Some(requests) = routing.copies.get_mut(key)
         {
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -7,8 +7,8 @@
 use savoryport_core::Name;
 use savoryport_core::node::deployment::EngineClass;
 use savoryport_core::node::placement::{
-    DemandAverage, LoadAllowance, Missing, Move, Neighbour, PlacementInput, PlacementServer,
-    WeightSource, next_move, owner,
+    DemandAverage, LoadRateLimiter, MissingModel, Move, NeighbourDomain, PlacementInput,
+    PlacementServer, WeightSource, next_move, restoring_domain,
 };
 use savoryport_core::node::registry::BackendServer;
 use smallvec::SmallVec;
@@ -32,7 +32,7 @@
 pub struct Planner {
     /// What callers of the domain ask for.
     pub demand: DemandAverage,
-    allowance: Option<LoadAllowance>,
+    allowance: Option<LoadRateLimiter>,
     /// Models that no server holds, and since when.
     missing_since: HashMap<Name, Instant>,
     /// Models that requests wait for, and since when.
@@ -75,7 +75,7 @@
         if let Some(engine) = engines.get(&usage.server) {
             let mut ledger = engine.ledger();
             let adapter = usage.adapter.as_deref();
-            ledger.note_use(&usage.model, adapter, usage.requests, cx.now());
+            ledger.add_use(&usage.model, adapter, usage.requests, cx.now());
         }
     }
 }
@@ -128,9 +128,9 @@
     class: &'a EngineClass,
     servers: &'a [Arc<BackendServer>],
     holders: &'a HashMap<Name, Vec<Name>>,
-    missing: &'a BTreeMap<Name, Missing>,
+    missing: &'a BTreeMap<Name, MissingModel>,
     demand: &'a HashMap<Name, f64>,
-    neighbours: &'a [Neighbour],
+    neighbours: &'a [NeighbourDomain],
 }
 
 impl Planner {
@@ -143,17 +143,18 @@
         domain: &str,
         holders: &HashMap<Name, Vec<Name>>,
         now: Instant,
-    ) -> BTreeMap<Name, Missing> {
+    ) -> BTreeMap<Name, MissingModel> {
         let domains = domains_with_ready_servers(view, service);
         self.missing_since.retain(|model, _| !holders.contains_key(model));
         let mut missing = BTreeMap::new();
         for model in class.models.keys().filter(|model| !holders.contains_key(*model)) {
             let since = *self.missing_since.entry(model.clone()).or_insert(now);
-            let is_owned = owner(model, domains.iter()).is_some_and(|owner| &**owner == domain);
+            let is_owned =
+                restoring_domain(model, domains.iter()).is_some_and(|owner| &**owner == domain);
             if self.wishes.contains_key(model) {
-                missing.insert(model.clone(), Missing::Awaited);
+                missing.insert(model.clone(), MissingModel::Requested);
             } else if is_owned && now.saturating_duration_since(since) >= RESTORE_AFTER {
-                missing.insert(model.clone(), Missing::Unasked);
+                missing.insert(model.clone(), MissingModel::NotRequested);
             }
         }
         missing
@@ -181,13 +182,13 @@
         let window = Duration::from_secs_f64(cx.settings.load_window_s);
         let domains = cx.settings.failure_domains.len();
         let allowance = self.allowance.get_or_insert_with(|| {
-            let mut allowance = LoadAllowance::new(class.loads_per_s, window, domains);
+            let mut allowance = LoadRateLimiter::new(class.loads_per_s, window, domains);
             if !cx.settings.first_start {
-                allowance.assume_used(now);
+                allowance.assume_exhausted(now);
             }
             allowance
         });
-        let may_use_store = allowance.may_begin(now);
+        let store_load_allowed = allowance.may_start_load(now);
         let no_loads = HashMap::new();
         let options: Vec<PlacementServer<'_>> = servers
             .iter()
@@ -203,16 +204,16 @@
                         models.push(moving.load.clone());
                     }
                 }
-                let in_use = ledger.requests_by_model();
-                let is_open =
+                let requests_by_model = ledger.requests_by_model();
+                let accepts_orders =
                     moving.is_none() && ledger.expected_orders().is_some() && !ledger.is_busy(now);
                 Some(PlacementServer {
                     server,
                     models,
-                    in_use,
+                    requests_by_model,
                     adapter_requests: ledger.adapter_requests(),
                     free_mb: ledger.free_mb(class),
-                    is_open,
+                    accepts_orders,
                     loaded_at: self.loaded_at.get(&server.id).unwrap_or(&no_loads),
                 })
             })
@@ -225,7 +226,7 @@
             domain: &controller.domain,
             demand,
             neighbours,
-            may_use_store,
+            store_load_allowed,
             now,
         };
         next_move(&input)
@@ -235,7 +236,7 @@
         if chosen.source == WeightSource::Store
             && let Some(allowance) = &mut self.allowance
         {
-            allowance.begin(now);
+            allowance.record_load(now);
         }
         let loaded = self.loaded_at.entry(chosen.server.clone()).or_default();
         loaded.insert(chosen.load.clone(), now);
@@ -243,7 +244,12 @@
 }
 
 /// Returns the other failure domains in the region of one, with their demand and copies.
-fn neighbours(cx: &NodeContext, view: &FleetView, service: &Name, domain: &Name) -> Vec<Neighbour> {
+fn neighbours(
+    cx: &NodeContext,
+    view: &FleetView,
+    service: &Name,
+    domain: &Name,
+) -> Vec<NeighbourDomain> {
     let region = cx.settings.region_of(domain);
     let others =
         domains_with_ready_servers(view, service).into_iter().filter(|other| other != domain);
@@ -256,7 +262,7 @@
         for model in servers.flat_map(|server| &server.models) {
             *copies.entry(model.name.clone()).or_default() += 1;
         }
-        Neighbour { demand: cx.peer_reports.demand_of(&other, cx.now()), domain: other, copies }
+        NeighbourDomain { demand: cx.peer_reports.demand_of(&other, cx.now()), domain: other, copies }
     })
     .collect()
 }
--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -148,10 +148,10 @@
         let sent = self.tried.len() as u32;
         let mut routing = self.cx.routing.lock();
         if sent == 0 {
-            routing.retry_budget.earn(&self.service);
+            routing.retry_budget.on_request(&self.service);
             return true;
         }
-        sent < self.route.max_attempts && routing.retry_budget.take(&self.service)
+        sent < self.route.max_attempts && routing.retry_budget.try_take(&self.service)
     }
 
     fn obstacle_to_retry(&self) -> Option<RefusalCause> {
@@ -265,7 +265,7 @@
                 let (parts, body) = answer.into_parts();
                 let kind = answer_kind(parts.status, &parts.headers, &self.head.id);
                 let (status, headers) = (parts.status, parts.headers);
-                self.cx.routing.lock().health.heard(&server.id, self.cx.now());
+                self.cx.routing.lock().health.record_activity(&server.id, self.cx.now());
                 let first = match first {
                     First::Data(data) => Some(data),
                     First::None | First::Broken => None,
@@ -339,11 +339,11 @@
             return tokio::time::timeout(self.left(), answer).await.ok();
         }
         let stall = (picked.expected * STALL_FACTOR).max(MIN_STALL);
-        if stall < self.route.target.mul_f64(STALL_TARGET_SHARE) {
+        if stall < self.route.target_latency.mul_f64(STALL_TARGET_SHARE) {
             if let Ok(answer) = tokio::time::timeout(stall, answer.as_mut()).await {
                 return Some(answer);
             }
-            let heard = self.cx.routing.lock().health.was_heard_since(&picked.server.id, sent_at);
+            let heard = self.cx.routing.lock().health.was_active_since(&picked.server.id, sent_at);
             if !heard && self.has_alternative() {
                 return None;
             }
@@ -385,13 +385,13 @@
     /// Notes that the last server sent something.
     pub(super) fn note_heard(&self) {
         if let Some(server) = &self.last_server {
-            self.cx.routing.lock().health.heard(server, self.cx.now());
+            self.cx.routing.lock().health.record_activity(server, self.cx.now());
         }
     }
 
     pub(super) fn note(&self, server: &Name, outcome: ServerOutcome) {
         let now = self.cx.now();
-        self.cx.routing.lock().health.note(server, outcome, now);
+        self.cx.routing.lock().health.record_outcome(server, outcome, now);
     }
 }
 
--- a/savoryport/src/node/routing_state.rs
+++ b/savoryport/src/node/routing_state.rs
@@ -5,11 +5,11 @@
 use std::time::Instant;
 
 use savoryport_core::Name;
-use savoryport_core::node::budget::{RetryBound, RetryBudget};
-use savoryport_core::node::health::HealthBoard;
-use savoryport_core::node::load::LoadBoard;
-use savoryport_core::node::prefix::PrefixMap;
-use savoryport_core::node::selection::{SelectionContext, SelectionCosts, Speeds};
+use savoryport_core::node::health::HealthTracker;
+use savoryport_core::node::load::LoadTracker;
+use savoryport_core::node::prefix::PrefixCacheIndex;
+use savoryport_core::node::retry_budget::{RetryBound, RetryBudget};
+use savoryport_core::node::selection::{SelectionContext, SelectionCosts, SpeedEstimates};
 
 use super::rpc::{CopyUse, PromptRecord};
 
@@ -23,13 +23,13 @@
 #[derive(Debug)]
 pub struct RoutingState {
     /// What runs where.
-    pub loads: LoadBoard,
+    pub loads: LoadTracker,
     /// Which prefixes are cached where.
-    pub prefixes: PrefixMap,
+    pub prefixes: PrefixCacheIndex,
     /// How far servers are trusted.
-    pub health: HealthBoard,
+    pub health: HealthTracker,
     /// How fast models and servers are.
-    pub speeds: Speeds,
+    pub speeds: SpeedEstimates,
     /// Repeats that are left.
     pub retry_budget: RetryBudget,
     /// Requests under way by copy.
@@ -49,10 +49,10 @@
     /// Starts with empty boards.
     pub fn new(bound: RetryBound, nodes: usize, costs: SelectionCosts) -> Self {
         Self(Mutex::new(RoutingState {
-            loads: LoadBoard::default(),
-            prefixes: PrefixMap::default(),
-            health: HealthBoard::default(),
-            speeds: Speeds::default(),
+            loads: LoadTracker::default(),
+            prefixes: PrefixCacheIndex::default(),
+            health: HealthTracker::default(),
+            speeds: SpeedEstimates::default(),
             retry_budget: RetryBudget::new(bound, nodes),
             copies: HashMap::new(),
             work_ms: HashMap::new(),
--- a/savoryport/src/node/server_response.rs
+++ b/savoryport/src/node/server_response.rs
@@ -29,7 +29,7 @@
                 self.note(&picked.server.id, ServerOutcome::Answered);
                 let took = self.cx.now() - flight.sent_at();
                 let server = &picked.server.id;
-                self.cx.routing.lock().speeds.note_service(server, &self.service, took);
+                self.cx.routing.lock().speeds.record_service_time(server, &self.service, took);
                 self.cx.request_pool.keep(connection, keep_alive(&headers));
                 strip_connection_headers(&mut headers);
                 self.log_end("answered", status.as_u16(), None);
@@ -63,10 +63,10 @@
         let mut routing = self.cx.routing.lock();
         match (status, self.copy_name()) {
             (StatusCode::MISDIRECTED_REQUEST, Some(copy)) => {
-                routing.health.note_denial(&server.id, copy, server.incarnation, now);
+                routing.health.record_not_resident(&server.id, copy, server.incarnation, now);
             }
             (StatusCode::SERVICE_UNAVAILABLE, _) => {
-                routing.health.note_full(&server.id, self.route.rank, now);
+                routing.health.record_full(&server.id, self.route.rank, now);
             }
             _ => {}
         }
--- a/savoryport/src/node/server_selection.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -5,12 +5,14 @@
 use std::time::Duration;
 
 use savoryport_core::Name;
-use savoryport_core::node::admission::{Prospect, Verdict, judge, retry_after};
+use savoryport_core::node::admission::{
+    AdmissionDecision, AdmissionInput, decide_admission, retry_after,
+};
 use savoryport_core::node::deployment::EngineClass;
-use savoryport_core::node::placement::owner;
+use savoryport_core::node::placement::restoring_domain;
 use savoryport_core::node::registry::BackendServer;
 use savoryport_core::node::request::Generation;
-use savoryport_core::node::selection::{Candidate, Demanded, Distance, choose};
+use savoryport_core::node::selection::{Candidate, Distance, SelectionRequest, choose_server};
 
 use super::planner::domains_with_ready_servers;
 use super::proxy::ProxyRequest;
@@ -69,7 +71,7 @@
         let candidates = self.candidates(&view);
         let mut routing = self.cx.routing.lock();
         let demanded = self.demanded();
-        let prefill = choose(
+        let prefill = choose_server(
             candidates.iter().map(|(candidate, _)| *candidate),
             &demanded,
             &routing.selection(self.arrived),
@@ -139,8 +141,8 @@
         Refusal::retry(cause, retry_after(COME_BACK, self.cx.random_unit()))
     }
 
-    fn demanded(&self) -> Demanded<'_> {
-        Demanded {
+    fn demanded(&self) -> SelectionRequest<'_> {
+        SelectionRequest {
             generation: self.head.generation.as_ref(),
             keys: &self.keys,
             service: &self.service,
@@ -157,7 +159,7 @@
     /// Returns whether another server would take the request now. Without one, leaving a server that is
     /// slow or silent only ends the request.
     pub(super) fn has_alternative(&self) -> bool {
-        let has_repeat = self.cx.routing.lock().retry_budget.has_repeat(&self.service);
+        let has_repeat = self.cx.routing.lock().retry_budget.can_retry(&self.service);
         has_repeat && matches!(self.look(&[]), Look::Picked(..))
     }
 
@@ -181,21 +183,23 @@
         let selection = routing.selection(now);
         let demanded = self.demanded();
         let options = candidates.iter().map(|(candidate, _)| *candidate);
-        let Some(choice) = choose(options, &demanded, &selection) else { return Look::NoServer };
+        let Some(choice) = choose_server(options, &demanded, &selection) else {
+            return Look::NoServer;
+        };
         // The bounds on waiting are for a first event; who has a part of a stream waits for the rest.
         let has_begun = self.first_token.is_some();
-        let prospect = Prospect {
+        let prospect = AdmissionInput {
             rank: self.route.rank,
-            expected: choice.expected,
+            expected_latency: choice.expected_latency,
             elapsed: if has_begun { Duration::ZERO } else { now - self.arrived },
-            queued: if has_begun { Duration::ZERO } else { now - self.queued_since },
-            target: self.route.target,
-            left: self.left(),
+            queue_time: if has_begun { Duration::ZERO } else { now - self.queued_since },
+            target_latency: self.route.target_latency,
+            time_left: self.left(),
         };
-        let priority = match judge(&prospect, self.cx.random_unit()) {
-            Verdict::Serve { priority } => priority,
-            Verdict::Refuse { retry_after } => {
-                return Look::Overload { expected: choice.expected, retry_after };
+        let priority = match decide_admission(&prospect, self.cx.random_unit()) {
+            AdmissionDecision::Admit { priority } => priority,
+            AdmissionDecision::Refuse { retry_after } => {
+                return Look::Overload { expected: choice.expected_latency, retry_after };
             }
         };
         let chosen = candidates
@@ -208,7 +212,7 @@
             priority: self.head.generation.as_ref().map(|_| priority),
             prefill_ms: choice.prefill_ms,
             copy_from: choice.copy_from.map(|source| source.address),
-            expected: choice.expected,
+            expected: choice.expected_latency,
         };
         Look::Picked(picked, choice.candidate.adapter_orders > 0)
     }
@@ -225,13 +229,14 @@
         let service = self.deployment.services.get(&self.service);
         let limit = service.map_or(u32::MAX, |service| service.connection_limit);
         let share = (limit / nodes).max(1);
-        let adapter_places = self.engine_class().map_or(0, |class| class.adapter_places);
+        let adapter_places = self.engine_class().map_or(0, |class| class.adapter_capacity);
         let (copy, now) = (self.copy_name(), self.cx.now());
         let routing = self.cx.routing.lock();
         let (own, health) = (routing.loads.own(), &routing.health);
         let is_denied = |server: &BackendServer| {
-            copy.as_ref()
-                .is_some_and(|copy| health.is_denied(&server.id, copy, server.incarnation, now))
+            copy.as_ref().is_some_and(|copy| {
+                health.is_not_resident(&server.id, copy, server.incarnation, now)
+            })
         };
         self.ready(view)
             .filter(|server| !self.tried.contains(&server.id) && !self.avoided.contains(&server.id))
@@ -250,11 +255,11 @@
     fn distance(&self, server: &BackendServer) -> Distance {
         let settings = &self.cx.settings;
         if server.failure_domain == settings.failure_domain {
-            return Distance::Near;
+            return Distance::SameDomain;
         }
         match settings.region_of(&server.failure_domain) {
-            Some(region) if *region == settings.region => Distance::Region,
-            _ => Distance::Far,
+            Some(region) if *region == settings.region => Distance::SameRegion,
+            _ => Distance::OtherRegion,
         }
     }
 
@@ -285,7 +290,7 @@
         let Some(expected) = self.wish_for_model(&asked.model).await else {
             return Err(self.later(RefusalCause::NoModel));
         };
-        let is_on_time = self.cx.now() - self.arrived + expected < self.route.target;
+        let is_on_time = self.cx.now() - self.arrived + expected < self.route.target_latency;
         if !is_on_time && expected > self.left().mul_f64(LOAD_SHARE) {
             return Err(Refusal::retry(
                 RefusalCause::NoModel,
@@ -305,7 +310,7 @@
     async fn wish_for_model(&self, model: &Name) -> Option<Duration> {
         let cx = &self.cx;
         let domains = domains_with_ready_servers(&cx.fleet.view(), &self.service);
-        let domain = owner(model, domains.iter()).unwrap_or(&cx.settings.failure_domain);
+        let domain = restoring_domain(model, domains.iter()).unwrap_or(&cx.settings.failure_domain);
         let reply = if cx.controllers.leads(domain) {
             cx.controllers.request_model(cx, &self.service, model, domain)
         } else {
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -58,7 +58,7 @@
     *answer.headers_mut() = headers;
     let forwarder = Forwarder {
         is_resumable: relay.route.kind == RequestKind::Stream { resumable: true },
-        last_event: relay.head.last_event,
+        last_event: relay.head.last_event_id,
         cutter: EventSplitter::default(),
         pieces,
         relay,
@@ -186,7 +186,7 @@
     fn should_leave(&self, opened: &Opened) -> bool {
         let cx = &self.relay.cx;
         let since = cx.now() - MAX_GAP;
-        let heard = cx.routing.lock().health.was_heard_since(opened.flight.server(), since);
+        let heard = cx.routing.lock().health.was_active_since(opened.flight.server(), since);
         !heard && self.may_resume() && self.relay.has_alternative()
     }
 
--- a/savoryport_core/tests/node_support/mod.rs
+++ b/savoryport_core/tests/node_support/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment for tests of a node's decisions.
+//! A small deployment for tests of the decisions of a node.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -30,14 +30,14 @@
     }
 }
 
-/// Returns engines with room for three models and four adapters.
-pub fn class() -> EngineClass {
+/// Returns an engine class with memory for three models and four adapter slots.
+pub fn engine_class() -> EngineClass {
     let spec = |number: usize| ModelSpec {
         name: format!("m{number}").into(),
         memory_mb: 70_000.0,
-        load_from_store: Duration::from_secs(4),
-        load_from_disk: Duration::from_millis(800),
-        load_from_memory: Duration::from_millis(400),
+        store_load_time: Duration::from_secs(4),
+        disk_load_time: Duration::from_millis(800),
+        memory_load_time: Duration::from_millis(400),
         adapter_mb: 100.0,
     };
     let models: BTreeMap<Name, ModelSpec> =
@@ -46,9 +46,9 @@
         slots: 64,
         cache_tokens: 250_000,
         memory_mb: 220_000.0,
-        adapter_places: 4,
+        adapter_capacity: 4,
         loads_per_s: 2.0,
-        event_tokens: 5,
+        tokens_per_event: 5,
         copy_ms_per_token: None,
         models,
     }
