--- a/savoryport/src/entry/address.rs
+++ b/savoryport/src/entry/address.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use savoryport_core::address::choose_entries;
+use savoryport_core::entry_selection::choose_entries;
 use savoryport_core::fleet::Vm;
 use serde_json::json;
 
--- a/savoryport_bench/src/policy/sim/mod.rs
+++ b/savoryport_bench/src/policy/sim/mod.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 use savoryport_core::Name;
-use savoryport_core::address::choose_entries;
 use savoryport_core::demand::DemandEstimator;
 use savoryport_core::dispatch::{Action, Dispatch, DispatchConfig, End, Request, Sample};
+use savoryport_core::entry_selection::choose_entries;
 use savoryport_core::placement::Plan;
 use savoryport_core::table::Row;
 use smallvec::SmallVec;
--- a/savoryport_core/src/lib.rs
+++ b/savoryport_core/src/lib.rs
@@ -7,12 +7,12 @@
 #[macro_use]
 mod macros;
 
-pub mod address;
 pub mod attempt;
 pub mod chart;
 pub mod clock;
 pub mod demand;
 pub mod dispatch;
+pub mod entry_selection;
 pub mod fleet;
 pub mod grant;
 pub mod hash;
