--- a/savoryport/src/control/reader.rs
+++ b/savoryport/src/control/reader.rs
@@ -10,8 +10,8 @@
 use savoryport_core::Name;
 use savoryport_core::fleet::Vm;
 use savoryport_core::ledger::ServerRecord;
-use savoryport_core::relay;
 use savoryport_core::replica::{Mark, Residency, Update};
+use savoryport_core::replication_tree;
 use savoryport_platform::kv::{Entry, Event, KvError, PutAnswer, Revision};
 use savoryport_platform::vms;
 
@@ -70,7 +70,7 @@
     let mut domain: Vec<&Vm> = replica.vms.entries().filter(is_near).collect();
     domain.sort_by(|a, b| a.name.cmp(&b.name));
     let place = domain.iter().take_while(|vm| vm.name < settings.vm).count();
-    let candidates = relay::upstreams(place).into_iter().map(|place| domain[place]);
+    let candidates = replication_tree::upstreams(place).into_iter().map(|place| domain[place]);
     candidates.filter_map(|vm| vm.control_address.as_ref()).map(ToString::to_string).collect()
 }
 
--- a/savoryport_core/src/lib.rs
+++ b/savoryport_core/src/lib.rs
@@ -21,8 +21,8 @@
 pub mod node;
 pub mod placement;
 pub mod rank;
-pub mod relay;
 pub mod replica;
+pub mod replication_tree;
 pub mod table;
 pub mod ticket;
 
--- a/savoryport_core/tests/relay.rs
+++ b/savoryport_core/tests/replication_tree.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use proptest::prelude::*;
-use savoryport_core::relay::{FAN_OUT, upstreams};
+use savoryport_core::replication_tree::{FAN_OUT, upstreams};
 
 #[test]
 fn the_first_reads_the_platform_and_nobody_follows_a_later_one() {
