--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -11,7 +11,7 @@
 use hyper::{Method, Response, StatusCode};
 use savoryport_core::Name;
 use savoryport_core::attempt::{Attempt, AttemptEvent, Outcome};
-use savoryport_core::dispatch::{End, RefusalCause, Request, Sample};
+use savoryport_core::dispatch::{RefusalCause, Request, RequestEnd, Sample};
 use savoryport_core::hash::prefix_hash;
 use savoryport_core::rank::Rank;
 use savoryport_core::table::{Kind, Row};
@@ -148,7 +148,7 @@
                 }
                 Err(Failure::Rejected(refusal)) => return Err(refusal),
                 Err(Failure::Engine) => {
-                    in_flight.sample.end = End::Failed;
+                    in_flight.sample.end = RequestEnd::Failed;
                     self.may_go_on(&in_flight).await?;
                 }
             }
@@ -321,7 +321,7 @@
                 }
                 Err(err) => {
                     log::debug!(server = &*in_flight.slot.server, err:%; "stream failed");
-                    in_flight.sample.end = End::Failed;
+                    in_flight.sample.end = RequestEnd::Failed;
                     self.fire(AttemptEvent::Broken);
                     return match self.may_go_on(&in_flight).await {
                         Ok(()) => Err(()),
@@ -349,7 +349,7 @@
                     .header(OUTCOME_HEADER, Outcome::Done.name());
                 return Ok(answer.body(whole(body.to_bytes())).expect("plain headers"));
             }
-            in_flight.sample.end = End::Failed;
+            in_flight.sample.end = RequestEnd::Failed;
             self.fire(AttemptEvent::Broken);
             self.may_go_on(&in_flight).await?;
             drop(in_flight);
@@ -387,7 +387,7 @@
         let now = self.cx.clock.now();
         let sample = &mut in_flight.sample;
         sample.total = now.saturating_duration_since(handed_at);
-        sample.end = End::Whole;
+        sample.end = RequestEnd::Whole;
         if let Some(first) = sample.first_token {
             let gaps = self.tokens_sent.saturating_sub(self.completion.resume_from + 1).max(1);
             sample.between_tokens = Some(sample.total.saturating_sub(first) / gaps);
--- a/savoryport/src/entry/dispatcher.rs
+++ b/savoryport/src/entry/dispatcher.rs
@@ -10,7 +10,7 @@
 use savoryport_core::Name;
 use savoryport_core::clock::Clock;
 use savoryport_core::dispatch::{
-    Action, Dispatch, End, RefusalCause, Request, RequestId, RetryBudget, Sample, ServerInfo,
+    Action, Dispatch, RefusalCause, Request, RequestEnd, RequestId, RetryBudget, Sample, ServerInfo,
 };
 use savoryport_core::fleet::{Vm, VmRole};
 use savoryport_core::rank::Rank;
@@ -233,7 +233,7 @@
                 self.dispatch.cancel(id);
             }
             Message::Finish(server, item, rank, sample) => {
-                if sample.end == End::Whole {
+                if sample.end == RequestEnd::Whole {
                     self.budget.on_success();
                     self.demand.note_length(rank, sample.total);
                 }
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -11,7 +11,7 @@
 use hyper::{Response, StatusCode};
 use savoryport_core::Name;
 use savoryport_core::attempt::{Attempt, AttemptEvent, Outcome};
-use savoryport_core::dispatch::{End, Request, Sample};
+use savoryport_core::dispatch::{Request, RequestEnd, Sample};
 use savoryport_core::hash::prefix_hash;
 use savoryport_core::table::{Kind, Row};
 use savoryport_core::ticket::{Admission, Ticket};
@@ -209,13 +209,13 @@
             let handed_at = self.cx.clock.now();
             match self.call_once(&in_flight).await {
                 Some(answer) => {
-                    in_flight.sample.end = End::Whole;
+                    in_flight.sample.end = RequestEnd::Whole;
                     in_flight.sample.total = self.cx.clock.now() - handed_at;
                     self.note_end(Outcome::Done);
                     return Ok(answer);
                 }
                 None => {
-                    in_flight.sample.end = End::Failed;
+                    in_flight.sample.end = RequestEnd::Failed;
                     self.may_go_on(&in_flight).await?;
                 }
             }
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -11,7 +11,9 @@
 use savoryport::rpc::{ControlClient, PullRequest};
 use savoryport::settings::Settings;
 use savoryport_core::Name;
-use savoryport_core::dispatch::{Dispatch, DispatchConfig, End, Request, Sample, ServerInfo};
+use savoryport_core::dispatch::{
+    Dispatch, DispatchConfig, Request, RequestEnd, Sample, ServerInfo,
+};
 use savoryport_core::fleet::{Vm, VmList, VmRole};
 use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
 use savoryport_core::rank::Rank;
@@ -319,7 +321,7 @@
         if ends.len() > 400 {
             let (server, item, began) = ends.swap_remove(0);
             let mut sample = Sample::under_way(300, Duration::from_millis(70));
-            sample.end = End::Whole;
+            sample.end = RequestEnd::Whole;
             sample.total = now - began;
             dispatch.finish(&server, &item, Rank::Normal, &sample, now);
         }
--- a/savoryport_bench/src/policy/sim/mod.rs
+++ b/savoryport_bench/src/policy/sim/mod.rs
@@ -8,7 +8,7 @@
 
 use savoryport_core::Name;
 use savoryport_core::demand::DemandEstimator;
-use savoryport_core::dispatch::{Action, Dispatch, DispatchConfig, End, Request, Sample};
+use savoryport_core::dispatch::{Action, Dispatch, DispatchConfig, Request, RequestEnd, Sample};
 use savoryport_core::entry_selection::choose_entries;
 use savoryport_core::placement::Plan;
 use savoryport_core::table::Row;
@@ -392,7 +392,7 @@
         self.note_end(request, engine);
         self.start_in(engine);
         if self.policy.routing == Routing::Dispatch {
-            self.tell_end(request, engine, End::Whole);
+            self.tell_end(request, engine, RequestEnd::Whole);
         }
     }
 
@@ -412,15 +412,15 @@
         }
     }
 
-    fn tell_end(&mut self, request: usize, engine: usize, end: End) {
+    fn tell_end(&mut self, request: usize, engine: usize, end: RequestEnd) {
         let (req, progress) = (&self.trace[request], self.progress[request]);
         let row = self.items[req.item];
         let seconds = Duration::from_secs_f64;
         let sample = Sample {
-            first_token: (end == End::Whole)
+            first_token: (end == RequestEnd::Whole)
                 .then(|| seconds((progress.first_token_at - progress.handed_at).max(0.0))),
             prompt_tokens: req.prompt,
-            between_tokens: (end == End::Whole).then(|| seconds(progress.between_tokens)),
+            between_tokens: (end == RequestEnd::Whole).then(|| seconds(progress.between_tokens)),
             between_tokens_target: Duration::from_millis(row.between_tokens_ms.into()),
             total: seconds((self.now - progress.handed_at).max(0.0)),
             end,
@@ -441,7 +441,7 @@
             let until = self.instant() + Duration::from_secs(1);
             let server = self.deployment.engines[engine].name.clone();
             self.entries[entry].suspend(&server, until);
-            self.tell_end(request, engine, End::Failed);
+            self.tell_end(request, engine, RequestEnd::Failed);
             self.dispatch_again(request);
         } else {
             self.route_simply(request);
--- a/savoryport_core/src/dispatch/mod.rs
+++ b/savoryport_core/src/dispatch/mod.rs
@@ -18,7 +18,7 @@
 use self::queue::Queues;
 pub use self::retry::RetryBudget;
 use self::server::ServerView;
-pub use self::server::{End, Sample, ServerInfo};
+pub use self::server::{RequestEnd, Sample, ServerInfo};
 use crate::Name;
 use crate::rank::Rank;
 
--- a/savoryport_core/src/dispatch/server.rs
+++ b/savoryport_core/src/dispatch/server.rs
@@ -53,12 +53,12 @@
     /// From the hand-over to the end.
     pub total: Duration,
     /// How it ended.
-    pub end: End,
+    pub end: RequestEnd,
 }
 
 /// How a request on a server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// Nothing was asked of the server, or the caller left.
     Unused,
     /// The server answered whole.
@@ -81,7 +81,7 @@
             between_tokens: None,
             between_tokens_target,
             total: Duration::ZERO,
-            end: End::Unused,
+            end: RequestEnd::Unused,
         }
     }
 }
@@ -206,10 +206,10 @@
         if let Some(first_token) = sample.first_token {
             blend(&mut self.first_token_seconds, first_token);
         }
-        if sample.end == End::Whole {
+        if sample.end == RequestEnd::Whole {
             blend(&mut self.total_seconds[rank.index()], sample.total);
         }
-        if sample.end != End::Unused {
+        if sample.end != RequestEnd::Unused {
             self.limit.on_sample(pace(sample, idle), in_use);
         }
     }
@@ -316,7 +316,7 @@
 /// Requests should wait at the entry, where rank decides: an engine with a queue of its own has been
 /// sent too many.
 fn pace(sample: &Sample, idle: Duration) -> f64 {
-    if sample.end == End::Failed {
+    if sample.end == RequestEnd::Failed {
         return 0.0;
     }
     let allowed = idle.saturating_add(ENGINE_WAIT);
--- a/savoryport_core/tests/dispatch.rs
+++ b/savoryport_core/tests/dispatch.rs
@@ -5,8 +5,8 @@
 
 use savoryport_core::Name;
 use savoryport_core::dispatch::{
-    Action, Dispatch, DispatchConfig, End, Limit, RefusalCause, Request, RetryBudget, Sample,
-    ServerInfo,
+    Action, Dispatch, DispatchConfig, Limit, RefusalCause, Request, RequestEnd, RetryBudget,
+    Sample, ServerInfo,
 };
 use savoryport_core::rank::Rank;
 
@@ -57,7 +57,7 @@
         self.now += after;
         let mut sample = Sample::under_way(0, SECOND);
         sample.first_token = Some(Duration::from_millis(1));
-        (sample.total, sample.end) = (after, End::Whole);
+        (sample.total, sample.end) = (after, RequestEnd::Whole);
         self.dispatch.finish(server, &"a".into(), rank, &sample, self.now)
     }
 }
