--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -387,7 +387,7 @@
         let now = self.cx.clock.now();
         let sample = &mut in_flight.sample;
         sample.total = now.saturating_duration_since(handed_at);
-        sample.end = RequestEnd::Whole;
+        sample.end = RequestEnd::Completed;
         if let Some(first) = sample.first_token {
             let gaps = self.tokens_sent.saturating_sub(self.completion.resume_from + 1).max(1);
             sample.between_tokens = Some(sample.total.saturating_sub(first) / gaps);
--- a/savoryport/src/entry/dispatcher.rs
+++ b/savoryport/src/entry/dispatcher.rs
@@ -233,7 +233,7 @@
                 self.dispatch.cancel(id);
             }
             Message::Finish(server, item, rank, sample) => {
-                if sample.end == RequestEnd::Whole {
+                if sample.end == RequestEnd::Completed {
                     self.budget.on_success();
                     self.demand.note_length(rank, sample.total);
                 }
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -209,7 +209,7 @@
             let handed_at = self.cx.clock.now();
             match self.call_once(&in_flight).await {
                 Some(answer) => {
-                    in_flight.sample.end = RequestEnd::Whole;
+                    in_flight.sample.end = RequestEnd::Completed;
                     in_flight.sample.total = self.cx.clock.now() - handed_at;
                     self.note_end(Outcome::Done);
                     return Ok(answer);
--- a/savoryport_bench/src/policy/sim/mod.rs
+++ b/savoryport_bench/src/policy/sim/mod.rs
@@ -392,7 +392,7 @@
         self.note_end(request, engine);
         self.start_in(engine);
         if self.policy.routing == Routing::Dispatch {
-            self.tell_end(request, engine, RequestEnd::Whole);
+            self.tell_end(request, engine, RequestEnd::Completed);
         }
     }
 
@@ -417,10 +417,11 @@
         let row = self.items[req.item];
         let seconds = Duration::from_secs_f64;
         let sample = Sample {
-            first_token: (end == RequestEnd::Whole)
+            first_token: (end == RequestEnd::Completed)
                 .then(|| seconds((progress.first_token_at - progress.handed_at).max(0.0))),
             prompt_tokens: req.prompt,
-            between_tokens: (end == RequestEnd::Whole).then(|| seconds(progress.between_tokens)),
+            between_tokens: (end == RequestEnd::Completed)
+                .then(|| seconds(progress.between_tokens)),
             between_tokens_target: Duration::from_millis(row.between_tokens_ms.into()),
             total: seconds((self.now - progress.handed_at).max(0.0)),
             end,
--- a/savoryport_core/src/dispatch/server.rs
+++ b/savoryport_core/src/dispatch/server.rs
@@ -62,7 +62,7 @@
     /// Nothing was asked of the server, or the caller left.
     Unused,
     /// The server answered whole.
-    Whole,
+    Completed,
     /// The server refused, broke off or fell silent.
     Failed,
 }
@@ -206,7 +206,7 @@
         if let Some(first_token) = sample.first_token {
             blend(&mut self.first_token_seconds, first_token);
         }
-        if sample.end == RequestEnd::Whole {
+        if sample.end == RequestEnd::Completed {
             blend(&mut self.total_seconds[rank.index()], sample.total);
         }
         if sample.end != RequestEnd::Unused {
--- a/savoryport_core/tests/dispatch.rs
+++ b/savoryport_core/tests/dispatch.rs
@@ -57,7 +57,7 @@
         self.now += after;
         let mut sample = Sample::under_way(0, SECOND);
         sample.first_token = Some(Duration::from_millis(1));
-        (sample.total, sample.end) = (after, RequestEnd::Whole);
+        (sample.total, sample.end) = (after, RequestEnd::Completed);
         self.dispatch.finish(server, &"a".into(), rank, &sample, self.now)
     }
 }
