--- a/savoryport/src/entry/dispatcher.rs
+++ b/savoryport/src/entry/dispatcher.rs
@@ -275,7 +275,7 @@
             if let Err(Verdict::Start(slot)) = tx.send(verdict) {
                 // The caller left at this moment: the slot must not stay taken.
                 let now = self.clock.now();
-                let sample = Sample::unused();
+                let sample = Sample::abandoned();
                 actions.extend(self.dispatch.finish(&slot.server, &item, rank, &sample, now));
             }
         }
--- a/savoryport_core/src/dispatch/server.rs
+++ b/savoryport_core/src/dispatch/server.rs
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnd {
     /// Nothing was asked of the server, or the caller left.
-    Unused,
+    Abandoned,
     /// The server answered whole.
     Completed,
     /// The server refused, broke off or fell silent.
@@ -69,7 +69,7 @@
 
 impl Sample {
     /// A slot that was given back before anything was sent: it tells nothing about the server.
-    pub fn unused() -> Self {
+    pub fn abandoned() -> Self {
         Self::under_way(0, Duration::MAX)
     }
 
@@ -81,7 +81,7 @@
             between_tokens: None,
             between_tokens_target,
             total: Duration::ZERO,
-            end: RequestEnd::Unused,
+            end: RequestEnd::Abandoned,
         }
     }
 }
@@ -209,7 +209,7 @@
         if sample.end == RequestEnd::Completed {
             blend(&mut self.total_seconds[rank.index()], sample.total);
         }
-        if sample.end != RequestEnd::Unused {
+        if sample.end != RequestEnd::Abandoned {
             self.limit.on_sample(pace(sample, idle), in_use);
         }
     }
