--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -167,7 +167,7 @@
             max_in_flight: self.row.max_in_flight,
         };
         let between_tokens = Duration::from_millis(self.row.between_tokens_ms.into());
-        let sample = Sample::under_way(req.prompt_tokens, between_tokens);
+        let sample = Sample::in_progress(req.prompt_tokens, between_tokens);
         match self.cx.dispatcher.submit(req, sample).await {
             Ok(in_flight) => {
                 self.fire(AttemptEvent::Start);
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -234,7 +234,7 @@
             avoid: self.avoid.clone(),
             max_in_flight: self.row.max_in_flight,
         };
-        let targets = Sample::under_way(0, Duration::MAX);
+        let targets = Sample::in_progress(0, Duration::MAX);
         match self.cx.dispatcher.submit(req, targets).await {
             Ok(in_flight) => {
                 self.fire(AttemptEvent::Start);
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -320,7 +320,7 @@
         }
         if ends.len() > 400 {
             let (server, item, began) = ends.swap_remove(0);
-            let mut sample = Sample::under_way(300, Duration::from_millis(70));
+            let mut sample = Sample::in_progress(300, Duration::from_millis(70));
             sample.end = RequestEnd::Completed;
             sample.total = now - began;
             dispatch.finish(&server, &item, Rank::Normal, &sample, now);
--- a/savoryport_core/src/dispatch/server.rs
+++ b/savoryport_core/src/dispatch/server.rs
@@ -70,11 +70,11 @@
 impl Sample {
     /// A slot that was given back before anything was sent: it tells nothing about the server.
     pub fn abandoned() -> Self {
-        Self::under_way(0, Duration::MAX)
+        Self::in_progress(0, Duration::MAX)
     }
 
     /// A request that is under way.
-    pub fn under_way(prompt_tokens: u32, between_tokens_target: Duration) -> Self {
+    pub fn in_progress(prompt_tokens: u32, between_tokens_target: Duration) -> Self {
         Self {
             first_token: None,
             prompt_tokens,
--- a/savoryport_core/tests/dispatch.rs
+++ b/savoryport_core/tests/dispatch.rs
@@ -55,7 +55,7 @@
     /// Ends a request on a server after a time, and returns what that set off.
     fn finish(&mut self, server: &str, rank: Rank, after: Duration) -> Vec<Action> {
         self.now += after;
-        let mut sample = Sample::under_way(0, SECOND);
+        let mut sample = Sample::in_progress(0, SECOND);
         sample.first_token = Some(Duration::from_millis(1));
         (sample.total, sample.end) = (after, RequestEnd::Completed);
         self.dispatch.finish(server, &"a".into(), rank, &sample, self.now)
