--- a/savoryport_core/src/dispatch/limit.rs
+++ b/savoryport_core/src/dispatch/limit.rs
@@ -5,13 +5,13 @@
 /// Entries share a server without talking to each other: each sees only its own first tokens, and
 /// additive growth with multiplicative decrease brings their limits towards equal shares.
 #[derive(Debug, Clone)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     value: f64,
     max: f64,
     since_decrease: f64,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// The least and the most that one decrease leaves, as a share.
     const DECREASE: (f64, f64) = (0.5, 0.9);
     const MIN: f64 = 1.0;
--- a/savoryport_core/src/dispatch/mod.rs
+++ b/savoryport_core/src/dispatch/mod.rs
@@ -14,7 +14,7 @@
 
 use smallvec::SmallVec;
 
-pub use self::limit::Limit;
+pub use self::limit::ConcurrencyLimit;
 use self::queue::Queues;
 pub use self::retry::RetryBudget;
 use self::server::ServerView;
--- a/savoryport_core/src/dispatch/server.rs
+++ b/savoryport_core/src/dispatch/server.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use super::limit::Limit;
+use super::limit::ConcurrencyLimit;
 use super::{DispatchConfig, Request};
 use crate::Name;
 use crate::rank::Rank;
@@ -89,7 +89,7 @@
 #[derive(Debug)]
 pub(super) struct ServerView {
     pub(super) info: ServerInfo,
-    pub(super) limit: Limit,
+    pub(super) limit: ConcurrencyLimit,
     pub(super) suspended_until: Option<Instant>,
     pub(super) is_listed: bool,
     in_flight: [u32; 3],
@@ -144,7 +144,7 @@
     pub(super) fn new(info: ServerInfo, cfg: &DispatchConfig) -> Self {
         Self {
             info,
-            limit: Limit::new(cfg.initial_limit, cfg.max_limit),
+            limit: ConcurrencyLimit::new(cfg.initial_limit, cfg.max_limit),
             suspended_until: None,
             is_listed: true,
             in_flight: [0; 3],
--- a/savoryport_core/tests/dispatch.rs
+++ b/savoryport_core/tests/dispatch.rs
@@ -5,8 +5,8 @@
 
 use savoryport_core::Name;
 use savoryport_core::dispatch::{
-    Action, Dispatch, DispatchConfig, Limit, RefusalCause, Request, RequestEnd, RetryBudget,
-    Sample, ServerInfo,
+    Action, ConcurrencyLimit, Dispatch, DispatchConfig, RefusalCause, Request, RequestEnd,
+    RetryBudget, Sample, ServerInfo,
 };
 use savoryport_core::rank::Rank;
 
@@ -234,9 +234,9 @@
 #[test]
 fn limits_of_entries_that_share_a_server_meet() {
     // Sixteen slots, two entries that start far apart.
-    let mut limits = [Limit::new(30.0, 256.0), Limit::new(2.0, 256.0)];
+    let mut limits = [ConcurrencyLimit::new(30.0, 256.0), ConcurrencyLimit::new(2.0, 256.0)];
     for _ in 0..20_000 {
-        let total: f64 = limits.iter().map(Limit::value).sum();
+        let total: f64 = limits.iter().map(ConcurrencyLimit::value).sum();
         let pace = (16.0 / total).min(1.0);
         for limit in &mut limits {
             limit.on_sample(pace, true);
