--- a/savoryport_bench/src/policy/sim/mod.rs
+++ b/savoryport_bench/src/policy/sim/mod.rs
@@ -212,7 +212,7 @@
             Event::Report { engine, waiting, running } => {
                 let (name, now) = (self.deployment.engines[engine].name.clone(), self.instant());
                 for entry in &mut self.entries {
-                    entry.report(&name, waiting, running, now);
+                    entry.record_load(&name, waiting, running, now);
                 }
             }
             Event::Loaded { engine, model } => self.on_loaded(engine, &model),
--- a/savoryport_core/src/dispatch/mod.rs
+++ b/savoryport_core/src/dispatch/mod.rs
@@ -167,7 +167,7 @@
     }
 
     /// Takes the server's own report of its load.
-    pub fn report(&mut self, server: &str, waiting: u32, running: u32, now: Instant) {
+    pub fn record_load(&mut self, server: &str, waiting: u32, running: u32, now: Instant) {
         if let Some(&at) = self.by_name.get(server) {
             self.servers[at].report(waiting, running, now);
         }
