--- a/savoryport_core/src/dispatch/mod.rs
+++ b/savoryport_core/src/dispatch/mod.rs
@@ -229,12 +229,12 @@
     }
 
     /// Returns the number of requests that wait, by rank.
-    pub fn waiting(&self) -> [usize; 3] {
+    pub fn queue_lengths(&self) -> [usize; 3] {
         self.queues.waiting()
     }
 
     /// Returns the number of requests under way on a server and its present limit.
-    pub fn in_flight(&self, server: &str) -> Option<(u32, f64)> {
+    pub fn in_flight_and_limit(&self, server: &str) -> Option<(u32, f64)> {
         let server = &self.servers[*self.by_name.get(server)?];
         Some((server.total(), server.limit.value()))
     }
--- a/savoryport_core/tests/dispatch.rs
+++ b/savoryport_core/tests/dispatch.rs
@@ -129,7 +129,7 @@
     assert!(entry.submit(Rank::Normal).is_empty(), "the second waits");
     let actions = entry.dispatch.tick(entry.now + SECOND * 2);
     assert_eq!(cause(&actions), Some(RefusalCause::Expired));
-    assert_eq!(entry.dispatch.waiting(), [0, 0, 0]);
+    assert_eq!(entry.dispatch.queue_lengths(), [0, 0, 0]);
 }
 
 #[test]
