--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -163,7 +163,7 @@
             deadline: self.deadline,
             prompt_tokens: (self.completion.text().len() / CHARS_PER_TOKEN) as u32,
             prefix: prefix_hash(&self.completion.model, &self.completion.text()),
-            avoid: self.avoid.clone(),
+            failed_servers: self.avoid.clone(),
             max_in_flight: self.row.max_in_flight,
         };
         let between_tokens = Duration::from_millis(self.row.between_tokens_ms.into());
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -231,7 +231,7 @@
             deadline: self.arrived + target,
             prompt_tokens: 0,
             prefix: prefix_hash(&self.row.name, &self.request_id),
-            avoid: self.avoid.clone(),
+            failed_servers: self.avoid.clone(),
             max_in_flight: self.row.max_in_flight,
         };
         let targets = Sample::in_progress(0, Duration::MAX);
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -307,7 +307,7 @@
             deadline: now + Duration::from_millis(1_800),
             prompt_tokens: 300,
             prefix: id % 997,
-            avoid: SmallVec::new(),
+            failed_servers: SmallVec::new(),
             max_in_flight: 64,
         };
         let began = Instant::now();
--- a/savoryport_bench/src/policy/sim/mod.rs
+++ b/savoryport_bench/src/policy/sim/mod.rs
@@ -281,7 +281,7 @@
                 deadline: now + target,
                 prompt_tokens: req.prompt,
                 prefix: req.prefix,
-                avoid: SmallVec::new(),
+                failed_servers: SmallVec::new(),
                 max_in_flight: row.max_in_flight,
             },
             now,
@@ -464,7 +464,7 @@
             deadline,
             prompt_tokens: req.prompt,
             prefix: req.prefix,
-            avoid: SmallVec::new(),
+            failed_servers: SmallVec::new(),
             max_in_flight: row.max_in_flight,
         };
         let actions = self.entries[entry].submit(again, now);
--- a/savoryport_core/src/dispatch/mod.rs
+++ b/savoryport_core/src/dispatch/mod.rs
@@ -64,7 +64,7 @@
     /// A hash of the beginning of the prompt, by which cached prefixes are found.
     pub prefix: u64,
     /// Servers that have failed it already.
-    pub avoid: SmallVec<[Name; 2]>,
+    pub failed_servers: SmallVec<[Name; 2]>,
     /// The most requests of the model or adapter that this entry has under way on one server.
     pub max_in_flight: u32,
 }
@@ -243,10 +243,10 @@
         let hosts = self.hosts.get(&req.item).map(SmallVec::as_slice).unwrap_or_default();
         let usable = |at: &usize| {
             let server = &self.servers[*at];
-            server.is_usable(now) && !req.avoid.contains(&server.info.name)
+            server.is_usable(now) && !req.failed_servers.contains(&server.info.name)
         };
         let found: SmallVec<[usize; 8]> = hosts.iter().copied().filter(usable).collect();
-        if found.is_empty() && !req.avoid.is_empty() {
+        if found.is_empty() && !req.failed_servers.is_empty() {
             // A server that failed it once is better than none.
             return hosts.iter().copied().filter(|at| self.servers[*at].is_usable(now)).collect();
         }
--- a/savoryport_core/tests/dispatch.rs
+++ b/savoryport_core/tests/dispatch.rs
@@ -42,7 +42,7 @@
             deadline: self.now + SECOND * 2,
             prompt_tokens: 0,
             prefix: self.next_id,
-            avoid: Default::default(),
+            failed_servers: Default::default(),
             max_in_flight: 100,
         }
     }
