--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -162,7 +162,7 @@
             rank: self.rank,
             deadline: self.deadline,
             prompt_tokens: (self.completion.text().len() / CHARS_PER_TOKEN) as u32,
-            prefix: prefix_hash(&self.completion.model, &self.completion.text()),
+            prefix_hash: prefix_hash(&self.completion.model, &self.completion.text()),
             failed_servers: self.avoid.clone(),
             max_in_flight: self.row.max_in_flight,
         };
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -230,7 +230,7 @@
             rank: self.row.rank,
             deadline: self.arrived + target,
             prompt_tokens: 0,
-            prefix: prefix_hash(&self.row.name, &self.request_id),
+            prefix_hash: prefix_hash(&self.row.name, &self.request_id),
             failed_servers: self.avoid.clone(),
             max_in_flight: self.row.max_in_flight,
         };
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -306,7 +306,7 @@
             rank: Rank::ALL[(id % 3) as usize],
             deadline: now + Duration::from_millis(1_800),
             prompt_tokens: 300,
-            prefix: id % 997,
+            prefix_hash: id % 997,
             failed_servers: SmallVec::new(),
             max_in_flight: 64,
         };
--- a/savoryport_bench/src/policy/sim/mod.rs
+++ b/savoryport_bench/src/policy/sim/mod.rs
@@ -280,7 +280,7 @@
                 rank: req.rank,
                 deadline: now + target,
                 prompt_tokens: req.prompt,
-                prefix: req.prefix,
+                prefix_hash: req.prefix,
                 failed_servers: SmallVec::new(),
                 max_in_flight: row.max_in_flight,
             },
@@ -463,7 +463,7 @@
             rank: req.rank,
             deadline,
             prompt_tokens: req.prompt,
-            prefix: req.prefix,
+            prefix_hash: req.prefix,
             failed_servers: SmallVec::new(),
             max_in_flight: row.max_in_flight,
         };
--- a/savoryport_core/src/dispatch/mod.rs
+++ b/savoryport_core/src/dispatch/mod.rs
@@ -62,7 +62,7 @@
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// A hash of the beginning of the prompt, by which cached prefixes are found.
-    pub prefix: u64,
+    pub prefix_hash: u64,
     /// Servers that have failed it already.
     pub failed_servers: SmallVec<[Name; 2]>,
     /// The most requests of the model or adapter that this entry has under way on one server.
@@ -265,7 +265,7 @@
     }
 
     fn start(&mut self, req: Request, at: usize, now: Instant) -> Action {
-        self.prefixes.note(req.prefix, at);
+        self.prefixes.note(req.prefix_hash, at);
         self.servers[at].start(&req, now);
         Action::Start { id: req.id, server: self.servers[at].info.name.clone() }
     }
--- a/savoryport_core/src/dispatch/routing.rs
+++ b/savoryport_core/src/dispatch/routing.rs
@@ -63,7 +63,7 @@
     req: &Request,
     at: usize,
 ) -> Duration {
-    let is_cached = prefixes.get(req.prefix) == Some(at);
+    let is_cached = prefixes.get(req.prefix_hash) == Some(at);
     let share = if is_cached { 1.0 - CACHED_SHARE } else { 1.0 };
     idle_first_token(cfg, server, (f64::from(req.prompt_tokens) * share) as u32)
 }
--- a/savoryport_core/tests/dispatch.rs
+++ b/savoryport_core/tests/dispatch.rs
@@ -41,7 +41,7 @@
             rank,
             deadline: self.now + SECOND * 2,
             prompt_tokens: 0,
-            prefix: self.next_id,
+            prefix_hash: self.next_id,
             failed_servers: Default::default(),
             max_in_flight: 100,
         }
