--- a/savoryport/src/control/mod.rs
+++ b/savoryport/src/control/mod.rs
@@ -18,7 +18,7 @@
 
 use futures::FutureExt;
 use savoryport_core::clock::{Clock, SystemClock};
-use savoryport_core::table::Kind;
+use savoryport_core::table::RowKind;
 use savoryport_platform::kv::EtcdClient;
 use serde_json::json;
 use thiserror::Error;
@@ -117,7 +117,7 @@
     let is_loaded = |name: &savoryport_core::Name| {
         replica.residency.values().any(|residency| residency.loaded.contains(name))
     };
-    let items = replica.table.rows.iter().filter(|row| row.kind != Kind::Service);
+    let items = replica.table.rows.iter().filter(|row| row.kind != RowKind::Service);
     items.map(|row| row.name.clone()).filter(|name| !is_loaded(name)).collect()
 }
 
--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -14,7 +14,7 @@
 use savoryport_core::dispatch::{RefusalCause, Request, RequestEnd, Sample};
 use savoryport_core::hash::prefix_hash;
 use savoryport_core::rank::Rank;
-use savoryport_core::table::{Kind, Row};
+use savoryport_core::table::{Row, RowKind};
 use savoryport_platform::connection::{Connection, SendError};
 use savoryport_platform::wire::{CompletionRequest, DRAINING_HEADER};
 use smallvec::SmallVec;
@@ -112,7 +112,7 @@
             return Err(bad("prompt or messages: must not be empty".to_owned()));
         }
         let table = cx.fleet.borrow().table.clone();
-        let row = table.get(&completion.model).filter(|row| row.kind != Kind::Service);
+        let row = table.get(&completion.model).filter(|row| row.kind != RowKind::Service);
         let Some(row) = row.cloned() else {
             let message = format!("no model or adapter {:?}", completion.model);
             return Err(Refusal::bad(StatusCode::NOT_FOUND, "unknown-model", message));
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -13,7 +13,7 @@
 use savoryport_core::attempt::{Attempt, AttemptEvent, Outcome};
 use savoryport_core::dispatch::{Request, RequestEnd, Sample};
 use savoryport_core::hash::prefix_hash;
-use savoryport_core::table::{Kind, Row};
+use savoryport_core::table::{Row, RowKind};
 use savoryport_core::ticket::{Admission, Ticket};
 use savoryport_platform::wire::{DRAINING_HEADER, REQUEST_ID_HEADER};
 use smallvec::SmallVec;
@@ -108,7 +108,7 @@
 fn find_row(cx: &Context, req: &CallerRequest) -> Result<Row, Refusal> {
     let name = req.path.split('/').nth(2).unwrap_or_default();
     let table = cx.fleet.borrow().table.clone();
-    let row = table.get(name).filter(|row| row.kind == Kind::Service);
+    let row = table.get(name).filter(|row| row.kind == RowKind::Service);
     row.cloned().ok_or_else(|| {
         let message = format!("no service {name:?}");
         Refusal::bad(StatusCode::NOT_FOUND, "unknown-service", message)
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -18,7 +18,7 @@
 use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{MemoryUse, Replica, Residency, Update};
-use savoryport_core::table::{Kind, Row, Table};
+use savoryport_core::table::{Row, RowKind, Table};
 use savoryport_platform::kv::{EtcdClient, KeyValue, PutAnswer};
 use savoryport_standin::engine::EngineConfig;
 use savoryport_standin::fleet::LocalFleet;
@@ -120,7 +120,7 @@
 
 fn row(name: String, memory_mib: u32) -> Row {
     Row {
-        kind: Kind::Model,
+        kind: RowKind::Model,
         name: name.into(),
         base: None,
         memory_mib,
--- a/savoryport_core/src/placement.rs
+++ b/savoryport_core/src/placement.rs
@@ -9,7 +9,7 @@
 use crate::Name;
 use crate::ledger::WantedItem;
 use crate::rank::Rank;
-use crate::table::{Kind, Row, Table};
+use crate::table::{Row, RowKind, Table};
 
 /// A new copy must promise this many times the gain of what it displaces.
 const SWAP_GAIN_RATIO: f64 = 2.0;
@@ -348,7 +348,7 @@
     let mut bundles: BTreeMap<&Name, Bundle> = table
         .rows
         .iter()
-        .filter(|row| row.kind == Kind::Model)
+        .filter(|row| row.kind == RowKind::Model)
         .map(|row| {
             let bundle = Bundle {
                 name: row.name.clone(),
@@ -360,7 +360,7 @@
             (&row.name, bundle)
         })
         .collect();
-    for row in table.rows.iter().filter(|row| row.kind == Kind::Adapter) {
+    for row in table.rows.iter().filter(|row| row.kind == RowKind::Adapter) {
         let Some(bundle) = row.base.as_ref().and_then(|base| bundles.get_mut(base)) else {
             continue;
         };
--- a/savoryport_core/src/table/mod.rs
+++ b/savoryport_core/src/table/mod.rs
@@ -21,7 +21,7 @@
 key! {
     /// What a row of the table describes.
     #[serde(rename_all = "lowercase")]
-    pub enum Kind {
+    pub enum RowKind {
         /// A whole language model.
         Model,
         /// An adapter on top of a model.
@@ -35,7 +35,7 @@
     /// One row of the table.
     pub struct Row {
         /// What the row describes.
-        pub kind: Kind,
+        pub kind: RowKind,
         /// The name that callers use, unique in the table.
         pub name: Name,
         /// The model that an adapter belongs to.
@@ -117,7 +117,7 @@
 
     /// Returns the rows that take accelerator memory.
     pub fn items(&self) -> impl Iterator<Item = &Row> {
-        self.rows.iter().filter(|row| row.kind != Kind::Service)
+        self.rows.iter().filter(|row| row.kind != RowKind::Service)
     }
 
     /// Encodes the table for the key-value service.
@@ -186,7 +186,7 @@
 
 fn bundles(rows: &[Row]) -> Vec<Bundle> {
     let mut adapters: HashMap<&str, (u32, u32)> = HashMap::new();
-    for row in rows.iter().filter(|row| row.kind == Kind::Adapter) {
+    for row in rows.iter().filter(|row| row.kind == RowKind::Adapter) {
         let base = row.base.as_deref().unwrap_or_default();
         let (total, copies) = adapters.entry(base).or_default();
         *total = total.saturating_add(row.memory_mib);
@@ -195,7 +195,7 @@
     let mut bundles: Vec<Bundle> = rows
         .iter()
         .enumerate()
-        .filter(|(_, row)| row.kind == Kind::Model)
+        .filter(|(_, row)| row.kind == RowKind::Model)
         .map(|(index, row)| {
             let (extra, copies) = adapters.get(&*row.name).copied().unwrap_or_default();
             let total_mib = row.memory_mib.saturating_add(extra);
--- a/savoryport_core/src/table/parse.rs
+++ b/savoryport_core/src/table/parse.rs
@@ -6,7 +6,7 @@
 
 use csv::StringRecord;
 
-use super::{CellError, Kind, Row, TableError};
+use super::{CellError, Row, RowKind, TableError};
 use crate::Name;
 use crate::rank::Rank;
 
@@ -75,11 +75,11 @@
     String::from_utf8(buf).expect("every field is UTF-8")
 }
 
-fn kind_name(kind: Kind) -> &'static str {
+fn kind_name(kind: RowKind) -> &'static str {
     match kind {
-        Kind::Model => "model",
-        Kind::Adapter => "adapter",
-        Kind::Service => "service",
+        RowKind::Model => "model",
+        RowKind::Adapter => "adapter",
+        RowKind::Service => "service",
     }
 }
 
@@ -115,7 +115,7 @@
 impl Cells<'_> {
     fn row(&mut self) -> Row {
         let kind = self.kind();
-        let is_service = kind == Kind::Service;
+        let is_service = kind == RowKind::Service;
         let row = Row {
             kind,
             name: self.name(),
@@ -145,14 +145,14 @@
         self.errors.push(CellError { line, column: column.to_owned(), value, problem });
     }
 
-    fn kind(&mut self) -> Kind {
+    fn kind(&mut self) -> RowKind {
         match self.text("kind") {
-            "model" => Kind::Model,
-            "adapter" => Kind::Adapter,
-            "service" => Kind::Service,
+            "model" => RowKind::Model,
+            "adapter" => RowKind::Adapter,
+            "service" => RowKind::Service,
             _ => {
                 self.fail("kind", "use model, adapter or service");
-                Kind::Model
+                RowKind::Model
             }
         }
     }
@@ -165,11 +165,13 @@
         name
     }
 
-    fn base(&mut self, kind: Kind) -> Option<Name> {
+    fn base(&mut self, kind: RowKind) -> Option<Name> {
         let base: Name = Arc::from(self.text("base"));
         match (kind, base.is_empty()) {
-            (Kind::Adapter, true) => self.fail("base", "an adapter needs a base"),
-            (Kind::Model | Kind::Service, false) => self.fail("base", "only an adapter has a base"),
+            (RowKind::Adapter, true) => self.fail("base", "an adapter needs a base"),
+            (RowKind::Model | RowKind::Service, false) => {
+                self.fail("base", "only an adapter has a base")
+            }
             _ => {}
         }
         (!base.is_empty()).then_some(base)
@@ -213,7 +215,7 @@
 }
 
 fn check_names(rows: &[(usize, Row)], errors: &mut Vec<CellError>) {
-    let mut first: HashMap<&str, (usize, Kind)> = HashMap::new();
+    let mut first: HashMap<&str, (usize, RowKind)> = HashMap::new();
     for (line, row) in rows {
         if let Some((earlier, _)) = first.get(&*row.name) {
             let problem = format!("the name stands in line {earlier} already");
@@ -224,7 +226,7 @@
     }
     for (line, row) in rows {
         let Some(base) = row.base.as_deref() else { continue };
-        if !matches!(first.get(base), Some((_, Kind::Model))) {
+        if !matches!(first.get(base), Some((_, RowKind::Model))) {
             let problem = "no model of that name is in the table".to_owned();
             errors.push(cell_error(*line, "base", base, problem));
         }
--- a/savoryport_core/tests/placement.rs
+++ b/savoryport_core/tests/placement.rs
@@ -6,11 +6,11 @@
 use savoryport_core::Name;
 use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
 use savoryport_core::rank::Rank;
-use savoryport_core::table::{Kind, Row, Table};
+use savoryport_core::table::{Row, RowKind, Table};
 
 fn model(name: &str, memory_mib: u32, min_copies: u32) -> Row {
     Row {
-        kind: Kind::Model,
+        kind: RowKind::Model,
         name: name.into(),
         base: None,
         memory_mib,
@@ -25,7 +25,7 @@
 }
 
 fn adapter(name: &str, base: &str, memory_mib: u32) -> Row {
-    Row { kind: Kind::Adapter, base: Some(base.into()), ..model(name, memory_mib, 1) }
+    Row { kind: RowKind::Adapter, base: Some(base.into()), ..model(name, memory_mib, 1) }
 }
 
 fn servers(count: usize, capacity_mib: u32) -> Vec<PlannedServer> {
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -15,7 +15,7 @@
 use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{Replica, Residency, Update};
-use savoryport_core::table::{Kind, Row, Table};
+use savoryport_core::table::{Row, RowKind, Table};
 
 use fake_engine::FakeEngine;
 
@@ -83,7 +83,7 @@
 impl World {
     fn new(seed: u64) -> Self {
         let row = |(name, memory_mib): &(&str, u32)| Row {
-            kind: Kind::Model,
+            kind: RowKind::Model,
             name: (*name).into(),
             base: None,
             memory_mib: *memory_mib,
--- a/savoryport_core/tests/replica.rs
+++ b/savoryport_core/tests/replica.rs
@@ -3,12 +3,12 @@
 use proptest::prelude::*;
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{Mark, MemoryUse, Replica, Residency, Update, Versions};
-use savoryport_core::table::{Kind, Row, Table};
+use savoryport_core::table::{Row, RowKind, Table};
 
 /// Returns the one table that was accepted under a version.
 fn table(version: u64) -> Table {
     let row = |at: u64| Row {
-        kind: Kind::Model,
+        kind: RowKind::Model,
         name: format!("m{at}").into(),
         base: None,
         memory_mib: 1 + version as u32,
--- a/savoryport_core/tests/table.rs
+++ b/savoryport_core/tests/table.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use savoryport_core::rank::Rank;
 use savoryport_core::table::{
-    CellError, Kind, MAX_TABLE_BYTES, Row, Table, TableDelta, TableError, check_fleet, merge,
+    CellError, MAX_TABLE_BYTES, Row, RowKind, Table, TableDelta, TableError, check_fleet, merge,
     parse_csv, to_csv,
 };
 
@@ -59,7 +59,7 @@
     let text = format!("\u{feff}{HEADER}\"model\",m,,100,1,urgent,8,800,70,1,yes\n");
     let text = text.replace('\n', "\r\n");
     let rows = parse_csv(text.as_bytes()).unwrap();
-    assert_eq!((rows[0].kind, rows[0].rank), (Kind::Model, Rank::Urgent));
+    assert_eq!((rows[0].kind, rows[0].rank), (RowKind::Model, Rank::Urgent));
     // A quoted comma belongs to its cell, and is no good in a name.
     assert_eq!(only_error("model,\"a,b\",,1,1,urgent,8,800,70,1,yes\n").column, "name");
 }
@@ -116,7 +116,7 @@
 fn rows() -> impl Strategy<Value = Vec<Row>> {
     prop::collection::btree_map("[a-e]", (1..99_u32, 1..9_u32), 0..5).prop_map(|rows| {
         let row = |(name, (memory_mib, weight)): (String, (u32, u32))| Row {
-            kind: Kind::Model,
+            kind: RowKind::Model,
             name: name.into(),
             base: None,
             memory_mib,
