--- a/savoryport/src/cli/table.rs
+++ b/savoryport/src/cli/table.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use savoryport_core::table::{
-    Row, RowChange, Table, TableDelta, TableError, check_fleet, merge, parse_csv, to_csv,
+    Row, RowChange, Table, TableDelta, TableError, check_memory_fit, merge, parse_csv, to_csv,
 };
 use savoryport_platform::kv::{EtcdClient, KeyValue, KvError, PutAnswer, Revision};
 use savoryport_platform::vms;
@@ -204,7 +204,7 @@
         .map_err(|err| CliError::NotReachable(err.to_string()))?;
     let capacities: Vec<u32> =
         list.engines().filter(|vm| !vm.leaving).map(|vm| vm.memory_mib).collect();
-    check_fleet(rows, &capacities).map_err(|err| refused(path, &err))
+    check_memory_fit(rows, &capacities).map_err(|err| refused(path, &err))
 }
 
 fn read_file(path: &Path) -> Result<Vec<Row>, CliError> {
--- a/savoryport/tests/settings.rs
+++ b/savoryport/tests/settings.rs
@@ -59,7 +59,7 @@
         let vms = std::fs::read_to_string(folder.join("vms.json")).unwrap();
         let list: savoryport_core::fleet::VmList = serde_json::from_str(&vms).unwrap();
         let capacities: Vec<u32> = list.engines().map(|vm| vm.memory_mib).collect();
-        assert_eq!(savoryport_core::table::check_fleet(&rows, &capacities), Ok(()));
+        assert_eq!(savoryport_core::table::check_memory_fit(&rows, &capacities), Ok(()));
     }
 }
 
--- a/savoryport_core/src/table/mod.rs
+++ b/savoryport_core/src/table/mod.rs
@@ -143,7 +143,7 @@
 /// # Errors
 ///
 /// Returns the rows that do not fit, by line of the file.
-pub fn check_fleet(rows: &[Row], capacities: &[u32]) -> Result<(), TableError> {
+pub fn check_memory_fit(rows: &[Row], capacities: &[u32]) -> Result<(), TableError> {
     let largest = capacities.iter().copied().max().unwrap_or(0);
     let mut errors = Vec::new();
     let mut free = capacities.to_vec();
--- a/savoryport_core/tests/table.rs
+++ b/savoryport_core/tests/table.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 use savoryport_core::rank::Rank;
 use savoryport_core::table::{
-    CellError, MAX_TABLE_BYTES, Row, RowKind, Table, TableDelta, TableError, check_fleet, merge,
-    parse_csv, to_csv,
+    CellError, MAX_TABLE_BYTES, Row, RowKind, Table, TableDelta, TableError, check_memory_fit,
+    merge, parse_csv, to_csv,
 };
 
 const HEADER: &str = "kind,name,base,memory_mib,weight,rank,max_in_flight,first_token_ms,\
@@ -91,10 +91,10 @@
          model,b,,50,1,urgent,8,800,70,1,yes\n",
     )
     .unwrap();
-    assert_eq!(check_fleet(&rows, &[100, 100, 50]), Ok(()));
-    assert_matches!(check_fleet(&rows, &[80, 80]), Err(TableError::Cells(errors))
+    assert_eq!(check_memory_fit(&rows, &[100, 100, 50]), Ok(()));
+    assert_matches!(check_memory_fit(&rows, &[80, 80]), Err(TableError::Cells(errors))
         if errors[0].line == 2 && errors[0].column == "memory_mib");
-    assert_matches!(check_fleet(&rows, &[100, 60]), Err(TableError::Cells(errors))
+    assert_matches!(check_memory_fit(&rows, &[100, 60]), Err(TableError::Cells(errors))
         if errors[0].line == 2 && errors[0].column == "min_copies");
 }
 
