--- a/savoryport/src/cli/table.rs
+++ b/savoryport/src/cli/table.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use savoryport_core::table::{
-    Row, RowChange, Table, TableDelta, TableError, check_memory_fit, merge, parse_csv, to_csv,
+    Row, RowChange, Table, TableDelta, TableError, check_memory_fit, merge_rows, parse_csv, to_csv,
 };
 use savoryport_platform::kv::{EtcdClient, KeyValue, KvError, PutAnswer, Revision};
 use savoryport_platform::vms;
@@ -165,7 +165,7 @@
         );
         return Err(CliError::Refused(message));
     }
-    merge(&base.rows, ours, &current.rows)
+    merge_rows(&base.rows, ours, &current.rows)
         .map_err(|err| CliError::Refused(format!("refused: {err}")))
 }
 
--- a/savoryport_core/src/table/delta.rs
+++ b/savoryport_core/src/table/delta.rs
@@ -82,7 +82,7 @@
 /// # Errors
 ///
 /// Returns the rows that both sides changed in different ways.
-pub fn merge(base: &[Row], ours: &[Row], theirs: &[Row]) -> Result<Vec<Row>, MergeConflict> {
+pub fn merge_rows(base: &[Row], ours: &[Row], theirs: &[Row]) -> Result<Vec<Row>, MergeConflict> {
     let our_changes = diff(base, ours);
     let their_changes: BTreeMap<Name, RowChange> =
         diff(base, theirs).into_iter().map(|change| (change.name().clone(), change)).collect();
--- a/savoryport_core/src/table/mod.rs
+++ b/savoryport_core/src/table/mod.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-pub use self::delta::{MergeConflict, RowChange, TableDelta, merge};
+pub use self::delta::{MergeConflict, RowChange, TableDelta, merge_rows};
 pub use self::parse::{COLUMNS, parse_csv, to_csv};
 use crate::Name;
 use crate::rank::Rank;
--- a/savoryport_core/tests/table.rs
+++ b/savoryport_core/tests/table.rs
@@ -5,7 +5,7 @@
 use savoryport_core::rank::Rank;
 use savoryport_core::table::{
     CellError, MAX_TABLE_BYTES, Row, RowKind, Table, TableDelta, TableError, check_memory_fit,
-    merge, parse_csv, to_csv,
+    merge_rows, parse_csv, to_csv,
 };
 
 const HEADER: &str = "kind,name,base,memory_mib,weight,rank,max_in_flight,first_token_ms,\
@@ -105,11 +105,11 @@
     let (mut ours, mut theirs) = (base.clone(), base.clone());
     ours[0].weight = 5;
     theirs.remove(1);
-    let merged = merge(&base, &ours, &theirs).unwrap();
+    let merged = merge_rows(&base, &ours, &theirs).unwrap();
     assert_eq!((merged.len(), merged[0].weight), (1, 5));
     theirs = base.clone();
     theirs[0].weight = 6;
-    let conflict = merge(&base, &ours, &theirs).unwrap_err();
+    let conflict = merge_rows(&base, &ours, &theirs).unwrap_err();
     assert_eq!(&*conflict.names[0], "a");
 }
 
