--- a/savoryport/src/control/planner.rs
+++ b/savoryport/src/control/planner.rs
@@ -7,7 +7,7 @@
 use savoryport_core::Name;
 use savoryport_core::demand::DemandEstimator;
 use savoryport_core::fleet::Vm;
-use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, plan};
 use savoryport_core::replica::{Replica, Update};
 use savoryport_platform::kv::{KvError, PutAnswer, Revision};
 
@@ -69,7 +69,7 @@
 }
 
 /// Returns the servers that may be planned for: those that stay and answer.
-fn planned_servers(replica: &Replica) -> Vec<PlannedServer> {
+fn planned_servers(replica: &Replica) -> Vec<ServerCapacity> {
     let is_out = |vm: &Vm| {
         vm.leaving
             || replica.mark(&keys::drain_mark(&vm.name)).is_some()
@@ -81,7 +81,7 @@
         .filter(|vm| !is_out(vm))
         .map(|vm| {
             let retained = replica.residency.get(&vm.name).map_or(0, |r| r.memory.retained_mib);
-            PlannedServer {
+            ServerCapacity {
                 name: vm.name.clone(),
                 failure_domain: vm.failure_domain.clone(),
                 capacity_mib: vm.memory_mib.saturating_sub(retained),
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -15,7 +15,7 @@
     Dispatch, DispatchConfig, Request, RequestEnd, Sample, ServerInfo,
 };
 use savoryport_core::fleet::{Vm, VmList, VmRole};
-use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{MemoryUse, Replica, Residency, Update};
 use savoryport_core::table::{Row, RowKind, Table};
@@ -252,8 +252,8 @@
 
 fn time_plans(servers: usize, models: usize) -> (f64, f64) {
     let table = table(models, 1, 60_000);
-    let fleet: Vec<PlannedServer> = (0..servers)
-        .map(|at| PlannedServer {
+    let fleet: Vec<ServerCapacity> = (0..servers)
+        .map(|at| ServerCapacity {
             name: format!("engine-{at:04}").into(),
             failure_domain: format!("domain-{}", at % 7).into(),
             capacity_mib: 640_000,
--- a/savoryport_bench/src/policy/sim/models.rs
+++ b/savoryport_bench/src/policy/sim/models.rs
@@ -4,7 +4,7 @@
 
 use savoryport_core::Name;
 use savoryport_core::dispatch::ServerInfo;
-use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, plan};
 use savoryport_core::table::Row;
 
 use super::{Event, LRU_PRESSURE, MOVE_BUDGET, PLAN_PERIOD, Sim, WARM_UP};
@@ -31,13 +31,13 @@
     }
 
     fn make_plan(&self, demand: &HashMap<Name, f64>, current: &Plan, move_budget: usize) -> Plan {
-        let servers: Vec<PlannedServer> = self
+        let servers: Vec<ServerCapacity> = self
             .deployment
             .engines
             .iter()
             .zip(&self.engines)
             .filter(|(_, engine)| !engine.is_lost)
-            .map(|(vm, _)| PlannedServer {
+            .map(|(vm, _)| ServerCapacity {
                 name: vm.name.clone(),
                 failure_domain: vm.failure_domain.clone(),
                 capacity_mib: vm.memory_mib,
--- a/savoryport_core/src/placement.rs
+++ b/savoryport_core/src/placement.rs
@@ -30,7 +30,7 @@
     }
 
     /// A server as the planner sees it.
-    pub struct PlannedServer {
+    pub struct ServerCapacity {
         /// Its name.
         pub name: Name,
         /// Its failure domain.
@@ -45,7 +45,7 @@
     /// The table in force.
     pub table: &'a Table,
     /// The servers that stay; leaving ones are left out.
-    pub servers: &'a [PlannedServer],
+    pub servers: &'a [ServerCapacity],
     /// Slots that requests of each model ask for, those of its adapters included.
     pub demand: &'a HashMap<Name, f64>,
     /// The plan in force.
@@ -90,7 +90,7 @@
 
 /// A server while the plan is being made.
 struct Slot<'a> {
-    server: &'a PlannedServer,
+    server: &'a ServerCapacity,
     free_mib: u32,
     bundles: Vec<usize>,
     load: f64,
@@ -339,7 +339,7 @@
 }
 
 impl<'a> Slot<'a> {
-    fn new(server: &'a PlannedServer) -> Self {
+    fn new(server: &'a ServerCapacity) -> Self {
         Self { server, free_mib: server.capacity_mib, bundles: Vec::new(), load: 0.0 }
     }
 }
--- a/savoryport_core/tests/placement.rs
+++ b/savoryport_core/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use savoryport_core::Name;
-use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::table::{Row, RowKind, Table};
 
@@ -28,9 +28,9 @@
     Row { kind: RowKind::Adapter, base: Some(base.into()), ..model(name, memory_mib, 1) }
 }
 
-fn servers(count: usize, capacity_mib: u32) -> Vec<PlannedServer> {
+fn servers(count: usize, capacity_mib: u32) -> Vec<ServerCapacity> {
     (0..count)
-        .map(|at| PlannedServer {
+        .map(|at| ServerCapacity {
             name: format!("s{at}").into(),
             failure_domain: format!("d{}", at % 2).into(),
             capacity_mib,
@@ -40,7 +40,7 @@
 
 fn make(
     table: &Table,
-    servers: &[PlannedServer],
+    servers: &[ServerCapacity],
     demand: &HashMap<Name, f64>,
     current: &Plan,
 ) -> Plan {
@@ -102,7 +102,7 @@
     let table = Table { version: 1, rows, ..Table::default() };
     let fleet = servers(6, 100);
     let before = make(&table, &fleet, &HashMap::new(), &Plan::default());
-    let left: Vec<PlannedServer> =
+    let left: Vec<ServerCapacity> =
         fleet.into_iter().filter(|server| &*server.failure_domain == "d0").collect();
     let after = make(&table, &left, &HashMap::new(), &before);
     assert!((0..8).all(|at| copies(&after, &format!("m{at}")) == 1));
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use savoryport_core::Name;
 use savoryport_core::ledger::{HolderId, Order, ServerRecord, Step, Steward, Wishes, WriteAnswer};
-use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{Replica, Residency, Update};
 use savoryport_core::table::{Row, RowKind, Table};
@@ -156,9 +156,9 @@
     /// Moves models about: any server may be left out, as one that drains.
     fn change_plan(&mut self) {
         let left_out = self.rng.random_range(0..SERVERS * 2);
-        let servers: Vec<PlannedServer> = (0..SERVERS)
+        let servers: Vec<ServerCapacity> = (0..SERVERS)
             .filter(|at| *at != left_out)
-            .map(|at| PlannedServer {
+            .map(|at| ServerCapacity {
                 name: self.servers[at].name.clone(),
                 failure_domain: format!("d{at}").into(),
                 capacity_mib: CAPACITY_MIB,
