--- a/savoryport/src/control/planner.rs
+++ b/savoryport/src/control/planner.rs
@@ -7,7 +7,7 @@
 use savoryport_core::Name;
 use savoryport_core::demand::DemandEstimator;
 use savoryport_core::fleet::Vm;
-use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, compute_plan};
 use savoryport_core::replica::{Replica, Update};
 use savoryport_platform::kv::{KvError, PutAnswer, Revision};
 
@@ -48,7 +48,7 @@
             current: &current,
             move_budget,
         };
-        let next = plan(&input);
+        let next = compute_plan(&input);
         (next.version > current.version).then_some(next)
     })
     .await;
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -15,7 +15,7 @@
     Dispatch, DispatchConfig, Request, RequestEnd, Sample, ServerInfo,
 };
 use savoryport_core::fleet::{Vm, VmList, VmRole};
-use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, compute_plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{MemoryUse, Replica, Residency, Update};
 use savoryport_core::table::{Row, RowKind, Table};
@@ -265,7 +265,7 @@
         let started = Instant::now();
         let input =
             PlacementInput { table: &table, servers: &fleet, demand, current, move_budget: 8 };
-        let made = plan(&input);
+        let made = compute_plan(&input);
         (made, started.elapsed().as_secs_f64() * 1e3)
     };
     let (current, first) = make(&Plan::default(), &demand);
--- a/savoryport_bench/src/policy/sim/models.rs
+++ b/savoryport_bench/src/policy/sim/models.rs
@@ -4,7 +4,7 @@
 
 use savoryport_core::Name;
 use savoryport_core::dispatch::ServerInfo;
-use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, compute_plan};
 use savoryport_core::table::Row;
 
 use super::{Event, LRU_PRESSURE, MOVE_BUDGET, PLAN_PERIOD, Sim, WARM_UP};
@@ -43,7 +43,7 @@
                 capacity_mib: vm.memory_mib,
             })
             .collect();
-        plan(&PlacementInput {
+        compute_plan(&PlacementInput {
             table: &self.deployment.table,
             servers: &servers,
             demand,
--- a/savoryport_core/src/placement.rs
+++ b/savoryport_core/src/placement.rs
@@ -104,7 +104,7 @@
 }
 
 /// Makes the next plan; returns the present one, version included, where nothing changes.
-pub fn plan(input: &PlacementInput<'_>) -> Plan {
+pub fn compute_plan(input: &PlacementInput<'_>) -> Plan {
     let mut planner = Planner::new(input);
     planner.keep_current(input.current);
     planner.place_fewest_copies();
--- a/savoryport_core/tests/placement.rs
+++ b/savoryport_core/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use savoryport_core::Name;
-use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, compute_plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::table::{Row, RowKind, Table};
 
@@ -44,7 +44,7 @@
     demand: &HashMap<Name, f64>,
     current: &Plan,
 ) -> Plan {
-    plan(&PlacementInput { table, servers, demand, current, move_budget: 2 })
+    compute_plan(&PlacementInput { table, servers, demand, current, move_budget: 2 })
 }
 
 fn used_mib(plan: &Plan, server: &str, table: &Table) -> u32 {
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use savoryport_core::Name;
 use savoryport_core::ledger::{HolderId, Order, ServerRecord, Step, Steward, Wishes, WriteAnswer};
-use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, compute_plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{Replica, Residency, Update};
 use savoryport_core::table::{Row, RowKind, Table};
@@ -169,7 +169,7 @@
         let (table, current) = (&self.table, &self.plan);
         let input =
             PlacementInput { table, servers: &servers, demand: &demand, current, move_budget: 2 };
-        self.plan = plan(&input);
+        self.plan = compute_plan(&input);
     }
 
     fn finish_loads(&mut self) {
