--- a/savoryport/src/control/reader.rs
+++ b/savoryport/src/control/reader.rs
@@ -129,7 +129,7 @@
         Err(_) => return ask_peers(cx).await,
     };
     let update = update_of(entries.into_iter().map(Event::Put));
-    cx.hub.add(cx.hub.replica().complete(Update { seen: revision, ..update }));
+    cx.hub.add(cx.hub.replica().add_removed_marks(Update { seen: revision, ..update }));
     log::info!(revision; "reading the platform");
     let beside = tokio::spawn(read_beside(cx.clone()));
     let mut look_at = cx.clock.now() + UPSTREAM_PERIOD;
@@ -224,7 +224,7 @@
         update.plan = serde_json::from_slice(value).ok().or(update.plan.take());
     } else if let Some(server) = key.strip_prefix(keys::SERVERS) {
         if let Ok(record) = serde_json::from_slice::<ServerRecord>(value) {
-            update.residency.insert(server.into(), Residency::of(&record, revision));
+            update.residency.insert(server.into(), Residency::from_record(&record, revision));
         }
     } else if let Some(name) = key.strip_prefix(keys::MARKS) {
         let text = String::from_utf8_lossy(value);
--- a/savoryport/src/control/stewards.rs
+++ b/savoryport/src/control/stewards.rs
@@ -179,7 +179,7 @@
         let value = serde_json::to_vec(&record).expect("plain values");
         let answer = match self.cx.platform.put_if(&key, value, revision, None).await {
             Ok(PutAnswer::Written(revision)) => {
-                self.cx.hub.add_residency(&self.vm.name, Residency::of(&record, revision));
+                self.cx.hub.add_residency(&self.vm.name, Residency::from_record(&record, revision));
                 WriteAnswer::Written(revision)
             }
             Ok(PutAnswer::Conflict) => {
--- a/savoryport_core/src/replica.rs
+++ b/savoryport_core/src/replica.rs
@@ -81,7 +81,7 @@
 
 impl Residency {
     /// Returns what the entries need to know of a ledger.
-    pub fn of(record: &ServerRecord, revision: u64) -> Self {
+    pub fn from_record(record: &ServerRecord, revision: u64) -> Self {
         let loaded = |state| state == ReservationState::Loaded;
         Self {
             revision,
@@ -157,7 +157,7 @@
 
     /// Adds to a whole listing of the key-value service what must have been removed since: marks
     /// that this node knows and the listing lacks.
-    pub fn complete(&self, mut listing: Update) -> Update {
+    pub fn add_removed_marks(&self, mut listing: Update) -> Update {
         let revision = listing.seen;
         for (key, mark) in &self.marks {
             if mark.revision <= revision && !listing.marks.contains_key(key) {
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -142,7 +142,7 @@
     /// Shows one server's holder some of what stands elsewhere, and perhaps the plan in force.
     fn see(&mut self, at: usize) {
         let other = &self.servers[self.rng.random_range(0..SERVERS)];
-        let residency = Residency::of(&other.record, other.revision);
+        let residency = Residency::from_record(&other.record, other.revision);
         let plan = self.rng.random_bool(0.5).then(|| self.plan.clone());
         let update = Update {
             table: Some(self.table.clone()),
--- a/savoryport_core/tests/replica.rs
+++ b/savoryport_core/tests/replica.rs
@@ -82,7 +82,7 @@
     let mut listing = Update::default();
     listing.marks.insert("lease/y".into(), mark(5));
     listing.seen = 9;
-    node.merge(node.complete(listing));
+    node.merge(node.add_removed_marks(listing));
     assert_eq!(node.mark("lease/x"), None);
     assert!(node.mark("lease/y").is_some());
 }
