--- a/savoryport_core/src/demand.rs
+++ b/savoryport_core/src/demand.rs
@@ -1,7 +1,8 @@
-//! Estimates the demand for each model at two time scales.
+//! Estimates the demand for each model with two exponential moving averages.
 //!
-//! The fast average follows a burst, so that copies are added soon; the slow one remembers it, so
-//! that only sustained quiet takes them away again. The larger of the two is the estimate.
+//! The fast average follows a burst, so that copies are added soon. The slow one decays slowly after
+//! it, so that copies are only removed after a sustained period of low demand. The estimate is the
+//! larger of the two.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,15 +10,15 @@
 use crate::Name;
 
 /// The time constant of the fast average.
-const FAST: Duration = Duration::from_secs(10);
+const FAST_TIME_CONSTANT: Duration = Duration::from_secs(10);
 
 /// The time constant of the slow average.
-const SLOW: Duration = Duration::from_secs(300);
+const SLOW_TIME_CONSTANT: Duration = Duration::from_secs(300);
 
-/// Below this a model counts as not asked for.
-const NEGLIGIBLE: f64 = 1e-4;
+/// The estimate, in slots, at or below which a model is dropped as unused.
+const NEGLIGIBLE_DEMAND: f64 = 1e-4;
 
-/// The demand for every model, as observed from time to time.
+/// Estimates the demand for every model from periodic observations.
 #[derive(Debug, Clone, Default)]
 pub struct DemandEstimator {
     models: HashMap<Name, Averages>,
@@ -31,7 +32,7 @@
 }
 
 impl DemandEstimator {
-    /// Takes the demand of the time since the last observation, and returns the estimate.
+    /// Adds the demand in slots observed since the last call, and returns the estimate by model.
     pub fn observe(&mut self, demand: &HashMap<Name, f64>, now: Instant) -> HashMap<Name, f64> {
         let interval = self.observed_at.map(|at| now.saturating_duration_since(at));
         self.observed_at = Some(now);
@@ -41,23 +42,25 @@
         for (model, averages) in &mut self.models {
             let observed = demand.get(model).copied().unwrap_or(0.0);
             match interval {
-                Some(interval) => averages.blend(observed, interval),
+                Some(interval) => averages.update(observed, interval),
                 None => *averages = Averages { fast: observed, slow: observed },
             }
         }
-        self.models.retain(|_, averages| averages.value() > NEGLIGIBLE);
-        self.models.iter().map(|(model, averages)| (model.clone(), averages.value())).collect()
+        self.models.retain(|_, averages| averages.estimate() > NEGLIGIBLE_DEMAND);
+        self.models.iter().map(|(model, averages)| (model.clone(), averages.estimate())).collect()
     }
 }
 
 impl Averages {
-    fn blend(&mut self, observed: f64, interval: Duration) {
-        let weight = |time: Duration| 1.0 - (-interval.as_secs_f64() / time.as_secs_f64()).exp();
-        self.fast += (observed - self.fast) * weight(FAST);
-        self.slow += (observed - self.slow) * weight(SLOW);
+    fn update(&mut self, observed: f64, interval: Duration) {
+        let weight = |time_constant: Duration| {
+            1.0 - (-interval.as_secs_f64() / time_constant.as_secs_f64()).exp()
+        };
+        self.fast += (observed - self.fast) * weight(FAST_TIME_CONSTANT);
+        self.slow += (observed - self.slow) * weight(SLOW_TIME_CONSTANT);
     }
 
-    fn value(self) -> f64 {
+    fn estimate(self) -> f64 {
         self.fast.max(self.slow)
     }
 }
--- a/savoryport_core/src/fleet.rs
+++ b/savoryport_core/src/fleet.rs
@@ -1,52 +1,52 @@
-//! The VMs and backend servers that the platform's list names.
+//! The platform's list of VMs, including the backend servers.
 
 use crate::Name;
 
 value! {
-    /// What a VM is there for.
+    /// The kind of process that a VM runs.
     #[serde(rename_all = "lowercase")]
     pub enum VmRole {
-        /// Runs the two daemons of savoryport.
+        /// Runs the two daemons of savoryport, entry and control.
         Entry,
         /// Runs a model engine.
         Engine,
-        /// Runs a plain service.
+        /// Runs a service that is not a model engine.
         Service,
     }
 
-    /// One VM of the platform's list, which lags behind the truth.
+    /// One VM of the platform's list, which lags behind the VM's actual state.
     pub struct Vm {
         /// The name of the VM, unique in the fleet.
         pub name: Name,
-        /// What the VM is there for.
+        /// The kind of process that the VM runs.
         pub role: VmRole,
-        /// IP address and port at which it serves.
+        /// IP address and port that serve requests.
         pub address: Name,
-        /// IP address and port of the control process; only entry VMs have one.
+        /// IP address and port of the control process, which only entry VMs have.
         #[serde(default)]
         pub control_address: Option<Name>,
-        /// The failure domain that the VM stands in.
+        /// The failure domain of the VM.
         pub failure_domain: Name,
-        /// The region of that failure domain.
+        /// The region of the failure domain.
         pub region: Name,
-        /// Whether the platform has announced that the VM goes away.
+        /// Whether the platform has announced the removal of the VM.
         #[serde(default)]
         pub leaving: bool,
-        /// Accelerator memory in MiB; 0 for VMs that are no engines.
+        /// Accelerator memory in MiB; 0 on VMs that run no engine.
         #[serde(default)]
         pub memory_mib: u32,
-        /// Whether the engine refuses an order with an old fencing number.
+        /// Whether the engine rejects orders with an outdated fencing number.
         #[serde(default)]
         pub checks_fencing: bool,
-        /// The plain services that the VM runs.
+        /// The services that the VM runs.
         #[serde(default)]
         pub services: Vec<Name>,
     }
 
-    /// The platform's list of VMs as it was at some moment.
+    /// A snapshot of the platform's list of VMs.
     #[derive(Default)]
     pub struct VmList {
-        /// Rises with each change of the list.
+        /// The version of the list, which increases with each change.
         pub version: u64,
         /// The VMs, in any order.
         pub vms: Vec<Vm>,
@@ -54,17 +54,17 @@
 }
 
 impl VmList {
-    /// Returns the model engines, leaving ones included.
+    /// Returns the VMs that run a model engine, including those about to be removed.
     pub fn engines(&self) -> impl Iterator<Item = &Vm> {
         self.vms.iter().filter(|vm| vm.role == VmRole::Engine)
     }
 
-    /// Returns the entry VMs, leaving ones included.
+    /// Returns the entry VMs, including those about to be removed.
     pub fn entries(&self) -> impl Iterator<Item = &Vm> {
         self.vms.iter().filter(|vm| vm.role == VmRole::Entry)
     }
 
-    /// Returns the VM of that name.
+    /// Returns the VM with the given name.
     pub fn get(&self, name: &str) -> Option<&Vm> {
         self.vms.iter().find(|vm| &*vm.name == name)
     }
--- a/savoryport_core/src/lib.rs
+++ b/savoryport_core/src/lib.rs
@@ -1,8 +1,9 @@
-//! Every decision of savoryport, and nothing else.
+//! The decision logic of savoryport, free of I/O.
 //!
-//! The crate has no sockets, threads, clock reads or global randomness: the time and a seeded
-//! generator are passed in, events go in and actions come out. A foreign bench can therefore drive
-//! it without a daemon. The reasons for each mechanism are in `docs/DESIGN.md`.
+//! The crate uses no sockets, threads, clock reads or global randomness: callers pass in the time
+//! and a seeded random generator, report events and carry out the returned actions. A benchmark
+//! can therefore drive it without running a daemon. `docs/DESIGN.md` explains the reasons for each
+//! mechanism.
 
 #[macro_use]
 mod macros;
--- a/savoryport_core/src/rank.rs
+++ b/savoryport_core/src/rank.rs
@@ -1,4 +1,4 @@
-//! The three ranks of work.
+//! The ranks that give requests their priority.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -6,33 +6,34 @@
 use thiserror::Error;
 
 key! {
-    /// How urgent a request is; the order of the variants is the order of urgency.
+    /// The priority of a request; the variants are ordered from most to least urgent.
     #[serde(rename_all = "lowercase")]
     pub enum Rank {
         /// Confirmations, payment captures and stock lookups.
         Urgent,
-        /// Drafts and hints that somebody waits for.
+        /// Drafts and hints that a user is waiting for.
         Normal,
-        /// Long reviews that may wait.
+        /// Long reviews without a waiting user.
         Batch,
     }
 }
 
-/// A rank was named that does not exist.
+/// The error for a text that names no rank.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("unknown rank {0:?}: use urgent, normal or batch")]
 pub struct UnknownRank(pub String);
 
 impl Rank {
-    /// Every rank, the most urgent first.
+    /// All ranks, the most urgent first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Normal, Self::Batch];
 
-    /// Returns the position in [`Rank::ALL`], which also is the engine's priority (0 goes first).
+    /// Returns the position in [`Rank::ALL`], which is also the priority sent to the engine (0 is
+    /// served first).
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// Returns the name used in the table, in headers and in metrics.
+    /// Returns the name of the rank in the table, in headers and in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Urgent => "urgent",
