--- a/savoryport_core/src/dispatch/limit.rs
+++ b/savoryport_core/src/dispatch/limit.rs
@@ -1,48 +1,53 @@
-//! The adaptive limit of requests that one entry has under way on one server.
+//! The adaptive limit on the requests that one entry has in progress on one server.
 
-/// A limit that grows while the server keeps its targets and shrinks when it misses them.
+/// A concurrency limit that grows while the server meets its latency targets and shrinks when it
+/// misses them.
 ///
-/// Entries share a server without talking to each other: each sees only its own first tokens, and
-/// additive growth with multiplicative decrease brings their limits towards equal shares.
+/// Entries share a server without communicating: each measures only its own requests. Additive
+/// increase with multiplicative decrease makes their limits converge to equal shares.
 #[derive(Debug, Clone)]
 pub struct ConcurrencyLimit {
     value: f64,
     max: f64,
-    since_decrease: f64,
+    samples_since_decrease: f64,
 }
 
 impl ConcurrencyLimit {
-    /// The least and the most that one decrease leaves, as a share.
-    const DECREASE: (f64, f64) = (0.5, 0.9);
+    /// The smallest and the largest factor that one decrease multiplies the limit by.
+    const DECREASE_FACTORS: (f64, f64) = (0.5, 0.9);
     const MIN: f64 = 1.0;
 
-    /// Starts at a value.
+    /// Creates a limit that starts at `initial` requests and never exceeds `max`.
     pub fn new(initial: f64, max: f64) -> Self {
-        Self { value: initial.clamp(Self::MIN, max), max, since_decrease: 0.0 }
+        Self { value: initial.clamp(Self::MIN, max), max, samples_since_decrease: 0.0 }
     }
 
-    /// Returns the present limit in requests.
+    /// Returns the current limit in requests.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Takes one finished request: `pace` is 1 for a server that kept up, and the share of the
-    /// allowed to the needed time for one that did not; `in_use` tells whether the limit was.
-    pub fn on_sample(&mut self, pace: f64, in_use: bool) {
-        self.since_decrease += 1.0;
-        if pace < 1.0 {
-            self.decrease(pace);
+    /// Adjusts the limit after a finished request.
+    ///
+    /// `target_ratio` is 1 if the server met its targets, and otherwise the allowed time divided by
+    /// the time that it took. `in_use` tells whether the limit was nearly reached; otherwise it does
+    /// not grow.
+    pub fn on_sample(&mut self, target_ratio: f64, in_use: bool) {
+        self.samples_since_decrease += 1.0;
+        if target_ratio < 1.0 {
+            self.decrease(target_ratio);
         } else if in_use {
             self.value = (self.value + 1.0 / self.value).min(self.max);
         }
     }
 
-    /// Decreases once for each limit's worth of samples: those under way were sent before.
-    fn decrease(&mut self, pace: f64) {
-        if self.since_decrease >= self.value {
-            let (least, most) = Self::DECREASE;
-            self.value = (self.value * pace.clamp(least, most)).max(Self::MIN);
-            self.since_decrease = 0.0;
+    /// Decreases the limit at most once for each `value` samples, since the requests in progress at
+    /// a decrease were sent before it took effect.
+    fn decrease(&mut self, target_ratio: f64) {
+        if self.samples_since_decrease >= self.value {
+            let (min, max) = Self::DECREASE_FACTORS;
+            self.value = (self.value * target_ratio.clamp(min, max)).max(Self::MIN);
+            self.samples_since_decrease = 0.0;
         }
     }
 }
--- a/savoryport_core/src/dispatch/mod.rs
+++ b/savoryport_core/src/dispatch/mod.rs
@@ -1,7 +1,8 @@
-//! Queues requests by rank at the entry and routes them to servers.
+//! Queues requests by rank at the entry and routes them to backend servers.
 //!
-//! Requests wait here, not in the engines, so that rank decides until the last moment. The ways
-//! that were weighed are in `docs/DESIGN.md`, their figures in `docs/MEASURES.md`.
+//! Requests wait here and not in the engines, so that they can be ordered by rank until a slot is
+//! free. `docs/DESIGN.md` describes the alternatives that were considered, `docs/MEASURES.md` how
+//! they measured.
 
 mod limit;
 mod queue;
@@ -17,71 +18,72 @@
 pub use self::limit::ConcurrencyLimit;
 use self::queue::Queues;
 pub use self::retry::RetryBudget;
-use self::server::ServerView;
+use self::server::ServerState;
 pub use self::server::{RequestEnd, Sample, ServerInfo};
 use crate::Name;
 use crate::rank::Rank;
 
-/// The shortest time after which a refused caller is asked to come back.
+/// The shortest delay after which a refused caller is asked to retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// The longest time after which a refused caller is asked to come back.
+/// The longest delay after which a refused caller is asked to retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Tells requests of one process apart.
+/// Identifies a request within one process.
 pub type RequestId = u64;
 
-/// Settings of the decisions; the defaults stand in `docs/OPERATIONS.md`.
+/// The settings of [`Dispatch`]; `docs/OPERATIONS.md` lists their defaults.
 #[derive(Debug, Clone)]
 pub struct DispatchConfig {
     /// The region of this entry.
     pub region: Name,
-    /// The guaranteed share of each rank, the most urgent first; they add up to 1.
+    /// The share of the slots that each rank is guaranteed, the most urgent rank first; the shares add
+    /// up to 1.
     pub shares: [f64; 3],
-    /// The limit of a server before anything is known of it.
+    /// The concurrency limit, in requests, of a server without measurements.
     pub initial_limit: f64,
-    /// The highest limit of a server.
+    /// The highest concurrency limit of a server, in requests.
     pub max_limit: f64,
-    /// The round trip to another region.
+    /// The round-trip time to another region.
     pub region_round_trip: Duration,
-    /// The time that the engine takes for one prompt token that is not cached.
+    /// The time that an engine takes to process one prompt token that is not cached.
     pub prefill_per_token: Duration,
 }
 
-/// One request that wants a server.
+/// A request to be routed to a server.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Unique in this process.
+    /// The identifier, unique in this process.
     pub id: RequestId,
-    /// The model or adapter.
+    /// The name of the model, adapter or service.
     pub item: Name,
-    /// How urgent it is.
+    /// The priority.
     pub rank: Rank,
     /// When the first token is due.
     pub deadline: Instant,
-    /// Tokens of the prompt.
+    /// The number of prompt tokens.
     pub prompt_tokens: u32,
-    /// A hash of the beginning of the prompt, by which cached prefixes are found.
+    /// The hash of the beginning of the prompt, used to find servers that have it cached.
     pub prefix_hash: u64,
-    /// Servers that have failed it already.
+    /// The servers that have already failed this request.
     pub failed_servers: SmallVec<[Name; 2]>,
-    /// The most requests of the model or adapter that this entry has under way on one server.
+    /// The maximum number of requests for the item that this entry has in progress on one server.
     pub max_in_flight: u32,
 }
 
-/// Why a request is refused.
+/// The reason why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalCause {
-    /// No server has the model or adapter in memory.
+    /// No usable server has the item loaded.
     NotResident,
-    /// The first token would come after its deadline.
+    /// The first token is expected after the deadline.
     WouldBeLate,
-    /// The deadline passed while the request waited.
+    /// The deadline passed, or could no longer be met, while the request waited.
     Expired,
 }
 
 impl RefusalCause {
-    /// Returns the word used in bodies and metrics.
+    /// Returns the name used in response bodies and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotResident => "not-resident",
@@ -91,103 +93,105 @@
     }
 }
 
-/// What is to be done with a request.
+/// A decision on a request, to be carried out by the caller of [`Dispatch`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send it to a server.
+    /// Send the request to a server.
     Start {
-        /// The request.
+        /// The request's identifier.
         id: RequestId,
-        /// The server's name.
+        /// The name of the server.
         server: Name,
     },
-    /// Tell the caller at once that it did not run.
+    /// Tell the caller at once that the request was not executed.
     Refuse {
-        /// The request.
+        /// The request's identifier.
         id: RequestId,
-        /// Why.
+        /// The reason.
         cause: RefusalCause,
-        /// When the caller may come back.
+        /// The delay after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// The state of one entry's decisions.
+/// The queues of one entry and its view of the servers, from which it makes its decisions.
 #[derive(Debug)]
 pub struct Dispatch {
     cfg: DispatchConfig,
-    servers: Vec<ServerView>,
-    by_name: HashMap<Name, usize>,
+    servers: Vec<ServerState>,
+    server_indices: HashMap<Name, usize>,
+    /// The indices of the servers that have each item loaded.
     hosts: HashMap<Name, SmallVec<[usize; 8]>>,
     queues: Queues,
     prefixes: routing::PrefixMap,
 }
 
 impl Dispatch {
-    /// Starts without servers.
+    /// Creates an instance without servers.
     pub fn new(cfg: DispatchConfig) -> Self {
         Self {
             cfg,
             servers: Vec::new(),
-            by_name: HashMap::new(),
+            server_indices: HashMap::new(),
             hosts: HashMap::new(),
             queues: Queues::default(),
             prefixes: routing::PrefixMap::default(),
         }
     }
 
-    /// Replaces the list of servers; what is known of those that stay is kept.
+    /// Replaces the list of servers, keeping the measurements of those already known.
     pub fn set_servers(&mut self, infos: Vec<ServerInfo>) {
         for server in &mut self.servers {
             server.is_listed = false;
         }
         for info in infos {
-            match self.by_name.get(&info.name) {
-                Some(&at) => self.servers[at].update(info),
+            match self.server_indices.get(&info.name) {
+                Some(&index) => self.servers[index].update(info),
                 None => {
-                    self.by_name.insert(info.name.clone(), self.servers.len());
-                    self.servers.push(ServerView::new(info, &self.cfg));
+                    self.server_indices.insert(info.name.clone(), self.servers.len());
+                    self.servers.push(ServerState::new(info, &self.cfg));
                 }
             }
         }
         self.hosts.clear();
-        for (at, server) in self.servers.iter().enumerate().filter(|(_, s)| s.takes_work()) {
+        for (index, server) in self.servers.iter().enumerate().filter(|(_, s)| s.accepts_requests())
+        {
             for item in &server.info.loaded {
-                self.hosts.entry(item.clone()).or_default().push(at);
+                self.hosts.entry(item.clone()).or_default().push(index);
             }
         }
         self.queues.set_hosts(&self.hosts);
     }
 
-    /// Notes that a server takes no new work, or none for a while.
+    /// Sends no new requests to a server until the given time.
     pub fn suspend(&mut self, server: &str, until: Instant) {
-        if let Some(&at) = self.by_name.get(server) {
-            self.servers[at].suspended_until = Some(until);
+        if let Some(&index) = self.server_indices.get(server) {
+            self.servers[index].suspended_until = Some(until);
         }
     }
 
-    /// Takes the server's own report of its load.
+    /// Records the numbers of waiting and running requests that a server reports of itself.
     pub fn record_load(&mut self, server: &str, waiting: u32, running: u32, now: Instant) {
-        if let Some(&at) = self.by_name.get(server) {
-            self.servers[at].report(waiting, running, now);
+        if let Some(&index) = self.server_indices.get(server) {
+            self.servers[index].record_load(waiting, running, now);
         }
     }
 
-    /// Takes a new request and starts whatever may start now.
+    /// Starts, queues or refuses a new request.
     pub fn submit(&mut self, req: Request, now: Instant) -> Vec<Action> {
         let hosts = self.usable_hosts(&req, now);
         if hosts.is_empty() {
             let cause = RefusalCause::NotResident;
             return vec![Action::Refuse { id: req.id, cause, retry_after: Duration::from_secs(1) }];
         }
-        if let Some(at) = self.immediate_server(&req, &hosts, now) {
-            return vec![self.start(req, at, now)];
+        if let Some(index) = self.immediate_server(&req, &hosts, now) {
+            return vec![self.start(req, index, now)];
         }
         let wait = self.expected_wait(req.rank, &hosts);
         let slack = req.deadline.saturating_duration_since(now);
-        let wait = wait + self.shortest_first_token(&req, &hosts);
-        if wait > slack {
-            let retry_after = (wait - slack).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+        let first_token = wait + self.shortest_first_token(&req, &hosts);
+        if first_token > slack {
+            let retry_after = (first_token - slack).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
             let cause = RefusalCause::WouldBeLate;
             return vec![Action::Refuse { id: req.id, cause, retry_after }];
         }
@@ -195,7 +199,7 @@
         Vec::new()
     }
 
-    /// Takes the end of a request on a server and starts what may start now.
+    /// Records the end of a request on a server and starts waiting requests in its place.
     pub fn finish(
         &mut self,
         server: &str,
@@ -204,106 +208,119 @@
         sample: &Sample,
         now: Instant,
     ) -> Vec<Action> {
-        let Some(&at) = self.by_name.get(server) else { return Vec::new() };
+        let Some(&index) = self.server_indices.get(server) else { return Vec::new() };
         let token = sample.between_tokens.unwrap_or_default();
-        let idle = routing::idle_first_token(&self.cfg, &self.servers[at], sample.prompt_tokens);
-        self.servers[at].finish(item, rank, sample, idle.saturating_add(token), now);
-        self.pump(at, now)
+        let idle = routing::uncached_idle_first_token(
+            &self.cfg,
+            &self.servers[index],
+            sample.prompt_tokens,
+        );
+        self.servers[index].finish(item, rank, sample, idle.saturating_add(token), now);
+        self.start_waiting(index, now)
     }
 
-    /// Removes a request that waits, for a caller that has left.
+    /// Removes a waiting request whose caller has disconnected.
     pub fn cancel(&mut self, id: RequestId) {
         self.queues.remove(id);
     }
 
-    /// Refuses what has waited past its deadline and starts what may start now.
+    /// Refuses the requests whose deadline has passed and starts waiting requests on every server.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         let mut actions: Vec<Action> = Vec::new();
-        for req in self.queues.take_expired(now) {
+        for req in self.queues.remove_expired(now) {
             actions.push(self.refuse_expired(&req, now));
         }
-        for at in 0..self.servers.len() {
-            actions.extend(self.pump(at, now));
+        for index in 0..self.servers.len() {
+            actions.extend(self.start_waiting(index, now));
         }
         actions
     }
 
-    /// Returns the number of requests that wait, by rank.
+    /// Returns the number of waiting requests of each rank.
     pub fn queue_lengths(&self) -> [usize; 3] {
-        self.queues.waiting()
+        self.queues.lengths()
     }
 
-    /// Returns the number of requests under way on a server and its present limit.
+    /// Returns the number of requests in progress on a server and its concurrency limit.
     pub fn in_flight_and_limit(&self, server: &str) -> Option<(u32, f64)> {
-        let server = &self.servers[*self.by_name.get(server)?];
-        Some((server.total(), server.limit.value()))
+        let server = &self.servers[*self.server_indices.get(server)?];
+        Some((server.total_in_flight(), server.limit.value()))
     }
 
     fn usable_hosts(&self, req: &Request, now: Instant) -> SmallVec<[usize; 8]> {
         let hosts = self.hosts.get(&req.item).map(SmallVec::as_slice).unwrap_or_default();
-        let usable = |at: &usize| {
-            let server = &self.servers[*at];
+        let is_usable = |index: &usize| {
+            let server = &self.servers[*index];
             server.is_usable(now) && !req.failed_servers.contains(&server.info.name)
         };
-        let found: SmallVec<[usize; 8]> = hosts.iter().copied().filter(usable).collect();
-        if found.is_empty() && !req.failed_servers.is_empty() {
-            // A server that failed it once is better than none.
-            return hosts.iter().copied().filter(|at| self.servers[*at].is_usable(now)).collect();
+        let usable_hosts: SmallVec<[usize; 8]> = hosts.iter().copied().filter(is_usable).collect();
+        if usable_hosts.is_empty() && !req.failed_servers.is_empty() {
+            // Retrying a server that failed this request is better than refusing the request.
+            return hosts
+                .iter()
+                .copied()
+                .filter(|index| self.servers[*index].is_usable(now))
+                .collect();
         }
-        found
+        usable_hosts
     }
 
-    /// Returns the server where the request may start without overtaking anybody.
+    /// Returns the server on which the request may start without overtaking a waiting one.
     fn immediate_server(&self, req: &Request, hosts: &[usize], now: Instant) -> Option<usize> {
-        let has_room = |at: &&usize| {
-            let server = &self.servers[**at];
-            let claims = self.queues.claims(**at);
-            server.may_take(req) && server.has_room_for(req.rank, claims, &self.cfg.shares)
+        let has_room = |index: &&usize| {
+            let server = &self.servers[**index];
+            let waiting = self.queues.waiting_for(**index);
+            server.is_below_item_limit(req)
+                && server.has_room_for(req.rank, waiting, &self.cfg.shares)
         };
-        let open: SmallVec<[usize; 8]> = hosts.iter().filter(has_room).copied().collect();
-        routing::choose(&self.cfg, &self.servers, &self.prefixes, req, &open, now)
+        let candidates: SmallVec<[usize; 8]> = hosts.iter().filter(has_room).copied().collect();
+        routing::choose_server(&self.cfg, &self.servers, &self.prefixes, req, &candidates, now)
     }
 
-    fn start(&mut self, req: Request, at: usize, now: Instant) -> Action {
-        self.prefixes.note(req.prefix_hash, at);
-        self.servers[at].start(&req, now);
-        Action::Start { id: req.id, server: self.servers[at].info.name.clone() }
+    fn start(&mut self, req: Request, index: usize, now: Instant) -> Action {
+        self.prefixes.record(req.prefix_hash, index);
+        self.servers[index].start(&req, now);
+        Action::Start { id: req.id, server: self.servers[index].info.name.clone() }
     }
 
-    /// Starts what waits for a server as long as it has room.
-    fn pump(&mut self, at: usize, now: Instant) -> Vec<Action> {
+    /// Starts requests that wait for a server until it has no free slot for them.
+    fn start_waiting(&mut self, index: usize, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
-        let mut claims = self.queues.claims(at);
-        while self.servers[at].is_usable(now) {
-            let Some(rank) = self.servers[at].next_rank(claims, &self.cfg.shares) else { break };
-            let server = &self.servers[at];
-            let Some(req) = self.queues.pop(rank, at, |req| server.may_take(req)) else {
-                // What waits in this rank is held back by the table's own limits.
-                claims[rank.index()] = 0;
+        let mut waiting = self.queues.waiting_for(index);
+        while self.servers[index].is_usable(now) {
+            let Some(rank) = self.servers[index].next_rank(waiting, &self.cfg.shares) else {
+                break;
+            };
+            let server = &self.servers[index];
+            let Some(req) = self.queues.pop(rank, index, |req| server.is_below_item_limit(req))
+            else {
+                // All waiting requests of this rank are held back by the table's `max_in_flight`.
+                waiting[rank.index()] = 0;
                 continue;
             };
-            claims[rank.index()] -= 1;
-            if self.is_hopeless(&req, at, now) {
+            waiting[rank.index()] -= 1;
+            if self.would_miss_deadline(&req, index, now) {
                 actions.push(self.refuse_expired(&req, now));
             } else {
-                actions.push(self.start(req, at, now));
+                actions.push(self.start(req, index, now));
             }
         }
         actions
     }
 
-    /// A first token that comes too late even if the engine starts now is not worth a slot.
-    fn is_hopeless(&self, req: &Request, at: usize, now: Instant) -> bool {
-        now + self.shortest_first_token(req, &[at]) > req.deadline
+    /// Returns whether the first token would miss the deadline even if the request started now; such
+    /// a request is not worth a slot.
+    fn would_miss_deadline(&self, req: &Request, index: usize, now: Instant) -> bool {
+        now + self.shortest_first_token(req, &[index]) > req.deadline
     }
 
-    /// Returns what the first token takes on the best of the servers: what they usually take, and
-    /// no less than an idle one would.
+    /// Returns the shortest time to the first token among the servers: for each the larger of its
+    /// recent typical time and the time that it would take when idle.
     fn shortest_first_token(&self, req: &Request, hosts: &[usize]) -> Duration {
-        let shortest = hosts.iter().map(|at| {
-            let server = &self.servers[*at];
-            let idle = routing::unhindered(&self.cfg, server, &self.prefixes, req, *at);
-            idle.max(server.usual_first_token())
+        let shortest = hosts.iter().map(|index| {
+            let server = &self.servers[*index];
+            let idle = routing::idle_first_token(&self.cfg, server, &self.prefixes, req, *index);
+            idle.max(server.typical_first_token())
         });
         shortest.min().unwrap_or_default()
     }
@@ -315,19 +332,19 @@
         Action::Refuse { id: req.id, cause: RefusalCause::Expired, retry_after }
     }
 
-    /// Estimates how long a new request of a rank would wait for one of the servers.
+    /// Estimates how long a new request of a rank would wait for a slot on one of the servers.
     fn expected_wait(&self, rank: Rank, hosts: &[usize]) -> Duration {
-        // The request itself waits, too.
-        let (mut ahead, mut drained) = (1.0, 0.0);
-        for &at in hosts {
-            let server = &self.servers[at];
-            let waiting = self.queues.claims(at)[rank.index()];
-            ahead += f64::from(waiting) / hosts.len() as f64;
-            drained += server.drain_rate(rank, &self.cfg.shares);
+        // The request itself counts as waiting, too.
+        let (mut waiting_requests, mut start_rate) = (1.0, 0.0);
+        for &index in hosts {
+            let server = &self.servers[index];
+            let waiting = self.queues.waiting_for(index)[rank.index()];
+            waiting_requests += f64::from(waiting) / hosts.len() as f64;
+            start_rate += server.start_rate(rank, &self.cfg.shares);
         }
-        if drained <= 0.0 {
+        if start_rate <= 0.0 {
             return MAX_RETRY_AFTER;
         }
-        Duration::from_secs_f64((ahead / drained).min(MAX_RETRY_AFTER.as_secs_f64()))
+        Duration::from_secs_f64((waiting_requests / start_rate).min(MAX_RETRY_AFTER.as_secs_f64()))
     }
 }
--- a/savoryport_core/src/dispatch/retry.rs
+++ b/savoryport_core/src/dispatch/retry.rs
@@ -1,6 +1,7 @@
-//! A budget that keeps retries a share of what succeeds.
+//! A budget that limits retries to a share of the successful requests.
 
-/// Allows retries as a share of successes, so that a failing fleet is not asked more, but less.
+/// A token bucket that is refilled by successful requests, so that retries decrease rather than
+/// increase the load on a failing fleet.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     tokens: f64,
@@ -9,17 +10,17 @@
 }
 
 impl RetryBudget {
-    /// Allows `share` retries for each success and `burst` at once.
+    /// Creates a full budget that earns `share` retries for each success and holds at most `burst`.
     pub fn new(share: f64, burst: f64) -> Self {
         Self { tokens: burst, share, burst }
     }
 
-    /// Notes a success.
+    /// Adds the retries earned by one successful request.
     pub fn on_success(&mut self) {
         self.tokens = (self.tokens + self.share).min(self.burst);
     }
 
-    /// Takes one retry from the budget, if there is one.
+    /// Takes one retry from the budget and returns whether there was one.
     pub fn try_take(&mut self) -> bool {
         let allowed = self.tokens >= 1.0;
         if allowed {
--- a/savoryport_core/src/dispatch/routing.rs
+++ b/savoryport_core/src/dispatch/routing.rs
@@ -1,18 +1,18 @@
-//! Chooses among servers that have room.
+//! Chooses one of the servers that have a free slot for a request.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::server::ServerView;
+use super::server::ServerState;
 use super::{DispatchConfig, Request};
 
-/// The most prefixes remembered; when it is reached, the older half is dropped.
+/// The maximum number of remembered prompt prefixes. When it is reached, the older half is dropped.
 const MAX_PREFIXES: usize = 20_000;
 
-/// The share of a prompt that a remembered prefix is taken to cover.
+/// The share of a prompt that a cached prefix is assumed to cover.
 const CACHED_SHARE: f64 = 0.7;
 
-/// Remembers which server saw a prefix last.
+/// The server that last received each prompt prefix, by the prefix's hash.
 #[derive(Debug, Default)]
 pub(super) struct PrefixMap {
     recent: HashMap<u64, usize>,
@@ -20,63 +20,69 @@
 }
 
 impl PrefixMap {
-    pub(super) fn note(&mut self, prefix: u64, server: usize) {
+    pub(super) fn record(&mut self, prefix_hash: u64, server: usize) {
         if self.recent.len() >= MAX_PREFIXES / 2 {
             self.older = std::mem::take(&mut self.recent);
         }
-        self.recent.insert(prefix, server);
+        self.recent.insert(prefix_hash, server);
     }
 
-    fn get(&self, prefix: u64) -> Option<usize> {
-        self.recent.get(&prefix).or_else(|| self.older.get(&prefix)).copied()
+    fn get(&self, prefix_hash: u64) -> Option<usize> {
+        self.recent.get(&prefix_hash).or_else(|| self.older.get(&prefix_hash)).copied()
     }
 }
 
-/// Returns the server with the earliest expected first token.
-pub(super) fn choose(
+/// Returns the server with the earliest expected first token, one of the own region if it meets the
+/// request's deadline.
+pub(super) fn choose_server(
     cfg: &DispatchConfig,
-    servers: &[ServerView],
+    servers: &[ServerState],
     prefixes: &PrefixMap,
     req: &Request,
-    open: &[usize],
+    candidates: &[usize],
     now: Instant,
 ) -> Option<usize> {
-    let expected = |at: usize| {
-        let server = &servers[at];
-        server.expected_first_token(now) + unhindered(cfg, server, prefixes, req, at)
+    let expected_first_token = |index: usize| {
+        let server = &servers[index];
+        server.expected_first_token(now) + idle_first_token(cfg, server, prefixes, req, index)
     };
-    let is_local = |at: &&usize| servers[**at].info.region == cfg.region;
-    let local = open.iter().filter(is_local).copied().min_by_key(|at| expected(*at));
-    // The link between regions is slow and paid by the byte, so it serves only what would be late.
+    let is_local = |index: &&usize| servers[**index].info.region == cfg.region;
+    let local = candidates
+        .iter()
+        .filter(is_local)
+        .copied()
+        .min_by_key(|index| expected_first_token(*index));
+    // The link between regions is slow and billed by the byte, so another region is only used if no
+    // server of this region is expected to meet the deadline.
     let slack = req.deadline.saturating_duration_since(now);
     match local {
-        Some(at) if expected(at) <= slack => Some(at),
-        _ => open.iter().copied().min_by_key(|at| expected(*at)),
+        Some(index) if expected_first_token(index) <= slack => Some(index),
+        _ => candidates.iter().copied().min_by_key(|index| expected_first_token(*index)),
     }
 }
 
-/// Returns what the first token takes on a server that is idle, with the prefix that it has cached.
-pub(super) fn unhindered(
+/// Estimates the time to the first token on an idle server, allowing for a cached prefix.
+pub(super) fn idle_first_token(
     cfg: &DispatchConfig,
-    server: &ServerView,
+    server: &ServerState,
     prefixes: &PrefixMap,
     req: &Request,
-    at: usize,
+    index: usize,
 ) -> Duration {
-    let is_cached = prefixes.get(req.prefix_hash) == Some(at);
-    let share = if is_cached { 1.0 - CACHED_SHARE } else { 1.0 };
-    idle_first_token(cfg, server, (f64::from(req.prompt_tokens) * share) as u32)
+    let is_cached = prefixes.get(req.prefix_hash) == Some(index);
+    let uncached_share = if is_cached { 1.0 - CACHED_SHARE } else { 1.0 };
+    uncached_idle_first_token(cfg, server, (f64::from(req.prompt_tokens) * uncached_share) as u32)
 }
 
-/// Returns what the first token takes on a server that is idle and has nothing cached.
-pub(super) fn idle_first_token(
+/// Estimates the time to the first token on an idle server that has nothing of the prompt cached.
+pub(super) fn uncached_idle_first_token(
     cfg: &DispatchConfig,
-    server: &ServerView,
+    server: &ServerState,
     prompt_tokens: u32,
 ) -> Duration {
-    cfg.prefill_per_token * prompt_tokens + distance(cfg, server)
+    cfg.prefill_per_token * prompt_tokens + network_delay(cfg, server)
 }
 
-fn distance(cfg: &DispatchConfig, server: &ServerView) -> Duration {
+fn network_delay(cfg: &DispatchConfig, server: &ServerState) -> Duration {
     if server.info.region == cfg.region { Duration::ZERO } else { cfg.region_round_trip }
 }
