--- a/savoryport_core/src/placement.rs
+++ b/savoryport_core/src/placement.rs
@@ -1,8 +1,8 @@
-//! Decides which models stand on which servers.
+//! Plans which models are placed on which servers.
 //!
-//! The plan is made by one process at a time and agreed through the key-value service. It starts
-//! from the plan in force, so that a steady demand moves nothing. A model and its adapters move
-//! together.
+//! One process at a time computes the plan and stores it in the key-value service. A new plan starts
+//! from the plan in force, so that nothing moves while demand is steady. A model and its adapters
+//! are always placed together.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -11,86 +11,88 @@
 use crate::rank::Rank;
 use crate::table::{Row, RowKind, Table};
 
-/// A new copy must promise this many times the gain of what it displaces.
+/// The minimum ratio of a new copy's gain to the loss from the copies that it displaces.
 const SWAP_GAIN_RATIO: f64 = 2.0;
 
-/// Slots asked for below which a model's copies are worth nothing beyond the fewest.
-const NEGLIGIBLE_RATE: f64 = 1e-3;
+/// The demand in slots below which a model gets no copies beyond its minimum.
+const NEGLIGIBLE_DEMAND: f64 = 1e-3;
 
 value! {
-    /// Where every model stands.
+    /// The placement of all models.
     #[derive(Default)]
     pub struct Plan {
-        /// Rises with every plan.
+        /// The version, which increases with every plan.
         pub version: u64,
-        /// The models on each server; their adapters stand beside them.
+        /// The models on each server; their adapters are placed with them.
         pub servers: BTreeMap<Name, Vec<Name>>,
-        /// The server of each model that keeps its copy until the plan names another.
+        /// The home server of each model, which keeps its copy until a plan names another home.
         pub homes: BTreeMap<Name, Name>,
     }
 
-    /// A server as the planner sees it.
+    /// A server that models can be placed on.
     pub struct ServerCapacity {
-        /// Its name.
+        /// The name of the server.
         pub name: Name,
-        /// Its failure domain.
+        /// The failure domain of the server.
         pub failure_domain: Name,
-        /// The memory in MiB that may be planned.
+        /// The memory in MiB that copies may take.
         pub capacity_mib: u32,
     }
 }
 
-/// What a plan is made from.
+/// The input of [`compute_plan`].
 pub struct PlacementInput<'a> {
     /// The table in force.
     pub table: &'a Table,
-    /// The servers that stay; leaving ones are left out.
+    /// The servers to place models on, without those about to be removed.
     pub servers: &'a [ServerCapacity],
-    /// Slots that requests of each model ask for, those of its adapters included.
+    /// The demand for each model in slots, including that for its adapters.
     pub demand: &'a HashMap<Name, f64>,
     /// The plan in force.
     pub current: &'a Plan,
-    /// The most copies that may displace others in this plan.
+    /// The maximum number of new copies that may displace others in this plan.
     pub move_budget: usize,
 }
 
 impl Plan {
-    /// Lists what a server shall hold, each model before its adapters.
+    /// Returns the items that the plan places on a server, each model before its adapters.
     pub fn wanted(&self, server: &str, table: &Table) -> Vec<WantedItem> {
         let models = self.servers.get(server).map(Vec::as_slice).unwrap_or_default();
         let mut wanted = Vec::new();
         for model in models {
-            let belongs =
+            let is_in_bundle =
                 |name: &Name, base: &Option<Name>| name == model || base.as_ref() == Some(model);
             let start = wanted.len();
-            wanted.extend(table.items().filter(|row| belongs(&row.name, &row.base)).map(|row| {
-                let (name, base) = (row.name.clone(), row.base.clone());
-                WantedItem { name, base, memory_mib: row.memory_mib }
-            }));
+            wanted.extend(table.items().filter(|row| is_in_bundle(&row.name, &row.base)).map(
+                |row| {
+                    let (name, base) = (row.name.clone(), row.base.clone());
+                    WantedItem { name, base, memory_mib: row.memory_mib }
+                },
+            ));
             wanted[start..].sort_by_key(|item| item.base.is_some());
         }
         wanted
     }
 
-    /// Returns the server that keeps the copy of a model or adapter.
+    /// Returns the home server of a model or adapter.
     pub fn home_of(&self, item: &str, table: &Table) -> Option<&Name> {
         let row = table.get(item)?;
         self.homes.get(row.base.as_ref().unwrap_or(&row.name))
     }
 }
 
-/// A model with its adapters.
+/// A model with its adapters, which are placed as a unit.
 struct Bundle {
     name: Name,
     memory_mib: u32,
     min_copies: usize,
     worth: f64,
-    rate: f64,
+    demand: f64,
 }
 
-/// A server while the plan is being made.
-struct Slot<'a> {
-    server: &'a ServerCapacity,
+/// A server with the bundles that the unfinished plan places on it.
+struct ServerDraft<'a> {
+    capacity: &'a ServerCapacity,
     free_mib: u32,
     bundles: Vec<usize>,
     load: f64,
@@ -98,28 +100,30 @@
 
 struct Planner<'a> {
     bundles: Vec<Bundle>,
-    slots: Vec<Slot<'a>>,
-    /// The slots that hold a copy, by bundle.
+    servers: Vec<ServerDraft<'a>>,
+    /// The servers that hold a copy, by bundle.
     copies: Vec<Vec<usize>>,
 }
 
-/// Makes the next plan; returns the present one, version included, where nothing changes.
+/// Computes the next plan, or returns the current one with its version if nothing changes.
 pub fn compute_plan(input: &PlacementInput<'_>) -> Plan {
     let mut planner = Planner::new(input);
-    planner.keep_current(input.current);
-    planner.place_fewest_copies();
+    planner.keep_current_copies(input.current);
+    planner.place_min_copies();
     planner.fill_free_memory();
     for _ in 0..input.move_budget {
         if !planner.swap_one() {
             break;
         }
     }
-    planner.finish(input.current)
+    planner.into_plan(input.current)
 }
 
-/// The worth of a row's copies. Rank decides in the queues; a copy mostly is capacity, which rows of
-/// every rank need by their load, so rank and weight count for less here.
-fn worth(row: &Row) -> f64 {
+/// Returns the worth of a copy for each unit of demand for the row.
+///
+/// Rank takes effect in the queues. A copy mainly adds capacity, which rows of every rank need in
+/// proportion to their load, so rank and weight have less influence here.
+fn copy_worth(row: &Row) -> f64 {
     let rank = match row.rank {
         Rank::Urgent => 4.0,
         Rank::Normal => 2.0,
@@ -131,154 +135,163 @@
 impl<'a> Planner<'a> {
     fn new(input: &'a PlacementInput<'a>) -> Self {
         let bundles = make_bundles(input.table, input.demand);
-        let slots = input.servers.iter().map(Slot::new).collect();
+        let servers = input.servers.iter().map(ServerDraft::new).collect();
         let copies = vec![Vec::new(); bundles.len()];
-        Self { bundles, slots, copies }
+        Self { bundles, servers, copies }
     }
 
-    fn keep_current(&mut self, current: &Plan) {
-        let by_name: HashMap<Name, usize> =
-            self.bundles.iter().enumerate().map(|(at, b)| (b.name.clone(), at)).collect();
-        for slot in 0..self.slots.len() {
-            let names = current.servers.get(&self.slots[slot].server.name);
+    fn keep_current_copies(&mut self, current: &Plan) {
+        let by_name: HashMap<Name, usize> = self
+            .bundles
+            .iter()
+            .enumerate()
+            .map(|(index, bundle)| (bundle.name.clone(), index))
+            .collect();
+        for server in 0..self.servers.len() {
+            let names = current.servers.get(&self.servers[server].capacity.name);
             for name in names.into_iter().flatten() {
                 let Some(&bundle) = by_name.get(name) else { continue };
-                if self.slots[slot].free_mib >= self.bundles[bundle].memory_mib {
-                    self.add(bundle, slot);
+                if self.servers[server].free_mib >= self.bundles[bundle].memory_mib {
+                    self.add(bundle, server);
                 }
             }
         }
     }
 
-    fn place_fewest_copies(&mut self) {
+    fn place_min_copies(&mut self) {
         for bundle in 0..self.bundles.len() {
             while self.copies[bundle].len() < self.bundles[bundle].min_copies {
-                let slot = self.best_slot(bundle).or_else(|| self.make_room(bundle));
-                let Some(slot) = slot else { break };
-                self.add(bundle, slot);
+                let server = self.best_server(bundle).or_else(|| self.make_room(bundle));
+                let Some(server) = server else { break };
+                self.add(bundle, server);
             }
         }
     }
 
     fn fill_free_memory(&mut self) {
-        let mut open: BTreeSet<usize> = (0..self.bundles.len()).collect();
+        let mut placeable: BTreeSet<usize> = (0..self.bundles.len()).collect();
         loop {
-            let best = open
+            let best = placeable
                 .iter()
                 .copied()
                 .map(|bundle| (self.gain(bundle), bundle))
                 .filter(|(gain, _)| *gain > 0.0)
                 .max_by(|a, b| a.0.total_cmp(&b.0));
             let Some((_, bundle)) = best else { return };
-            match self.best_slot(bundle) {
-                Some(slot) => self.add(bundle, slot),
-                None => drop(open.remove(&bundle)),
+            match self.best_server(bundle) {
+                Some(server) => self.add(bundle, server),
+                None => drop(placeable.remove(&bundle)),
             }
         }
     }
 
-    /// Replaces the least useful copies of one server by the most useful missing one.
+    /// Replaces the least valuable copies on one server by the most valuable additional copy, and
+    /// returns whether a swap was worth it.
     fn swap_one(&mut self) -> bool {
-        let mut wanted: Vec<(f64, usize)> =
+        let mut by_gain: Vec<(f64, usize)> =
             (0..self.bundles.len()).map(|bundle| (self.gain(bundle), bundle)).collect();
-        wanted.sort_by(|a, b| b.0.total_cmp(&a.0));
-        for (gain, bundle) in wanted.into_iter().take(3) {
+        by_gain.sort_by(|a, b| b.0.total_cmp(&a.0));
+        for (gain, bundle) in by_gain.into_iter().take(3) {
             if gain <= 0.0 {
                 return false;
             }
-            let limit = gain * f64::from(self.bundles[bundle].memory_mib) / SWAP_GAIN_RATIO;
-            if let Some((slot, victims)) = self.cheapest_victims(bundle, limit) {
+            let max_loss = gain * f64::from(self.bundles[bundle].memory_mib) / SWAP_GAIN_RATIO;
+            if let Some((server, victims)) = self.cheapest_victims(bundle, max_loss) {
                 for victim in victims {
-                    self.remove(victim, slot);
+                    self.remove(victim, server);
                 }
-                self.add(bundle, slot);
+                self.add(bundle, server);
                 return true;
             }
         }
         false
     }
 
-    /// What a further copy is worth for each MiB: the load that it takes off the present ones.
+    /// Returns the gain of a further copy for each MiB, from the load that it takes off the existing
+    /// ones.
     fn gain(&self, bundle: usize) -> f64 {
-        let Bundle { memory_mib, worth, rate, .. } = self.bundles[bundle];
+        let Bundle { memory_mib, worth, demand, .. } = self.bundles[bundle];
         let copies = self.copies[bundle].len() as f64;
-        if rate < NEGLIGIBLE_RATE {
+        if demand < NEGLIGIBLE_DEMAND {
             return 0.0;
         }
         let spread = self.spread_gain(bundle);
-        (worth * rate / (copies.max(0.5) * (copies + 1.0)) + spread) / f64::from(memory_mib)
+        (worth * demand / (copies.max(0.5) * (copies + 1.0)) + spread) / f64::from(memory_mib)
     }
 
-    /// What the last copy is worth in all; the fewest copies are beyond price.
+    /// Returns the total loss from removing one copy, which is infinite if only the minimum number of
+    /// copies is left.
     fn loss(&self, bundle: usize) -> f64 {
-        let Bundle { min_copies, worth, rate, .. } = self.bundles[bundle];
+        let Bundle { min_copies, worth, demand, .. } = self.bundles[bundle];
         let copies = self.copies[bundle].len();
         if copies <= min_copies {
             return f64::INFINITY;
         }
         let copies = copies as f64;
-        worth * rate / (copies * (copies - 1.0))
+        worth * demand / (copies * (copies - 1.0))
     }
 
-    /// A second failure domain is worth a tenth of the model's whole demand.
+    /// Returns the gain from a copy in a second failure domain, a tenth of the model's worth at its
+    /// whole demand.
     fn spread_gain(&self, bundle: usize) -> f64 {
         if self.copies[bundle].len() == 1 {
-            let Bundle { worth, rate, .. } = self.bundles[bundle];
-            worth * rate * 0.1
+            let Bundle { worth, demand, .. } = self.bundles[bundle];
+            worth * demand * 0.1
         } else {
             0.0
         }
     }
 
-    fn best_slot(&self, bundle: usize) -> Option<usize> {
+    fn best_server(&self, bundle: usize) -> Option<usize> {
         let needed = self.bundles[bundle].memory_mib;
-        let domains = self.domains(bundle);
-        let open = |at: &usize| {
-            let slot = &self.slots[*at];
-            slot.free_mib >= needed && !slot.bundles.contains(&bundle)
+        let domains = self.domains_with_copy(bundle);
+        let fits = |index: &usize| {
+            let server = &self.servers[*index];
+            server.free_mib >= needed && !server.bundles.contains(&bundle)
         };
-        (0..self.slots.len()).filter(open).min_by(|a, b| {
-            let known = |at: usize| domains.contains(&&self.slots[at].server.failure_domain);
-            (known(*a).cmp(&known(*b)))
-                .then(self.slots[*a].load.total_cmp(&self.slots[*b].load))
-                .then(self.slots[*b].free_mib.cmp(&self.slots[*a].free_mib))
+        (0..self.servers.len()).filter(fits).min_by(|a, b| {
+            let has_copy_in_domain =
+                |index: usize| domains.contains(&&self.servers[index].capacity.failure_domain);
+            (has_copy_in_domain(*a).cmp(&has_copy_in_domain(*b)))
+                .then(self.servers[*a].load.total_cmp(&self.servers[*b].load))
+                .then(self.servers[*b].free_mib.cmp(&self.servers[*a].free_mib))
         })
     }
 
-    fn domains(&self, bundle: usize) -> BTreeSet<&Name> {
+    fn domains_with_copy(&self, bundle: usize) -> BTreeSet<&Name> {
         let copies = self.copies[bundle].iter();
-        copies.map(|slot| &self.slots[*slot].server.failure_domain).collect()
+        copies.map(|server| &self.servers[*server].capacity.failure_domain).collect()
     }
 
     fn make_room(&mut self, bundle: usize) -> Option<usize> {
-        let (slot, victims) = self.cheapest_victims(bundle, f64::MAX)?;
+        let (server, victims) = self.cheapest_victims(bundle, f64::MAX)?;
         for victim in victims {
-            self.remove(victim, slot);
+            self.remove(victim, server);
         }
-        Some(slot)
+        Some(server)
     }
 
-    /// Finds the server where room for a bundle costs least, and what has to go there.
-    fn cheapest_victims(&self, bundle: usize, limit: f64) -> Option<(usize, Vec<usize>)> {
+    /// Returns the server where making room for a bundle costs least, and the bundles to remove there.
+    fn cheapest_victims(&self, bundle: usize, max_loss: f64) -> Option<(usize, Vec<usize>)> {
         let mut best: Option<(f64, usize, Vec<usize>)> = None;
-        for at in 0..self.slots.len() {
-            if self.slots[at].bundles.contains(&bundle) {
+        for index in 0..self.servers.len() {
+            if self.servers[index].bundles.contains(&bundle) {
                 continue;
             }
-            let Some((cost, victims)) = self.victims(bundle, at) else { continue };
-            if cost <= limit && best.as_ref().is_none_or(|(least, _, _)| cost < *least) {
-                best = Some((cost, at, victims));
+            let Some((cost, victims)) = self.victims_on(bundle, index) else { continue };
+            if cost <= max_loss && best.as_ref().is_none_or(|(least, _, _)| cost < *least) {
+                best = Some((cost, index, victims));
             }
         }
-        best.map(|(_, at, victims)| (at, victims))
+        best.map(|(_, index, victims)| (index, victims))
     }
 
-    fn victims(&self, bundle: usize, at: usize) -> Option<(f64, Vec<usize>)> {
-        let slot = &self.slots[at];
+    fn victims_on(&self, bundle: usize, index: usize) -> Option<(f64, Vec<usize>)> {
+        let server = &self.servers[index];
         let mut candidates: Vec<(f64, usize)> =
-            slot.bundles.iter().map(|other| (self.loss(*other), *other)).collect();
+            server.bundles.iter().map(|other| (self.loss(*other), *other)).collect();
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let (mut free, mut cost, mut victims) = (slot.free_mib, 0.0, Vec::new());
+        let (mut free, mut cost, mut victims) = (server.free_mib, 0.0, Vec::new());
         for (loss, other) in candidates {
             if free >= self.bundles[bundle].memory_mib || loss.is_infinite() {
                 break;
@@ -290,43 +303,42 @@
         (free >= self.bundles[bundle].memory_mib).then_some((cost, victims))
     }
 
-    fn add(&mut self, bundle: usize, slot: usize) {
+    fn add(&mut self, bundle: usize, server: usize) {
         self.change_load(bundle, -1.0);
-        self.copies[bundle].push(slot);
-        self.slots[slot].bundles.push(bundle);
-        self.slots[slot].free_mib -= self.bundles[bundle].memory_mib;
+        self.copies[bundle].push(server);
+        self.servers[server].bundles.push(bundle);
+        self.servers[server].free_mib -= self.bundles[bundle].memory_mib;
         self.change_load(bundle, 1.0);
     }
 
-    fn remove(&mut self, bundle: usize, slot: usize) {
+    fn remove(&mut self, bundle: usize, server: usize) {
         self.change_load(bundle, -1.0);
-        self.copies[bundle].retain(|at| *at != slot);
-        self.slots[slot].bundles.retain(|at| *at != bundle);
-        self.slots[slot].free_mib += self.bundles[bundle].memory_mib;
+        self.copies[bundle].retain(|index| *index != server);
+        self.servers[server].bundles.retain(|index| *index != bundle);
+        self.servers[server].free_mib += self.bundles[bundle].memory_mib;
         self.change_load(bundle, 1.0);
     }
 
     fn change_load(&mut self, bundle: usize, sign: f64) {
-        let share = self.bundles[bundle].rate / self.copies[bundle].len().max(1) as f64;
-        for slot in &self.copies[bundle] {
-            self.slots[*slot].load += sign * share;
+        let share = self.bundles[bundle].demand / self.copies[bundle].len().max(1) as f64;
+        for server in &self.copies[bundle] {
+            self.servers[*server].load += sign * share;
         }
     }
 
-    fn finish(self, current: &Plan) -> Plan {
+    fn into_plan(self, current: &Plan) -> Plan {
         let mut next = Plan { version: current.version, ..Plan::default() };
-        for slot in &self.slots {
+        for server in &self.servers {
             let mut names: Vec<Name> =
-                slot.bundles.iter().map(|bundle| self.bundles[*bundle].name.clone()).collect();
+                server.bundles.iter().map(|bundle| self.bundles[*bundle].name.clone()).collect();
             names.sort();
-            next.servers.insert(slot.server.name.clone(), names);
+            next.servers.insert(server.capacity.name.clone(), names);
         }
         for (bundle, copies) in self.bundles.iter().zip(&self.copies) {
-            let kept = current
-                .homes
-                .get(&bundle.name)
-                .filter(|home| copies.iter().any(|slot| self.slots[*slot].server.name == **home));
-            let first = copies.first().map(|slot| &self.slots[*slot].server.name);
+            let kept = current.homes.get(&bundle.name).filter(|home| {
+                copies.iter().any(|server| self.servers[*server].capacity.name == **home)
+            });
+            let first = copies.first().map(|server| &self.servers[*server].capacity.name);
             if let Some(home) = kept.or(first) {
                 next.homes.insert(bundle.name.clone(), home.clone());
             }
@@ -338,9 +350,9 @@
     }
 }
 
-impl<'a> Slot<'a> {
-    fn new(server: &'a ServerCapacity) -> Self {
-        Self { server, free_mib: server.capacity_mib, bundles: Vec::new(), load: 0.0 }
+impl<'a> ServerDraft<'a> {
+    fn new(capacity: &'a ServerCapacity) -> Self {
+        Self { capacity, free_mib: capacity.capacity_mib, bundles: Vec::new(), load: 0.0 }
     }
 }
 
@@ -354,8 +366,8 @@
                 name: row.name.clone(),
                 memory_mib: row.memory_mib,
                 min_copies: row.min_copies as usize,
-                worth: worth(row),
-                rate: demand.get(&row.name).copied().unwrap_or(0.0),
+                worth: copy_worth(row),
+                demand: demand.get(&row.name).copied().unwrap_or(0.0),
             };
             (&row.name, bundle)
         })
@@ -366,7 +378,7 @@
         };
         bundle.memory_mib += row.memory_mib;
         bundle.min_copies = bundle.min_copies.max(row.min_copies as usize);
-        bundle.worth = bundle.worth.max(worth(row));
+        bundle.worth = bundle.worth.max(copy_worth(row));
     }
     let mut bundles: Vec<Bundle> = bundles.into_values().collect();
     bundles.sort_by_key(|bundle| std::cmp::Reverse(bundle.memory_mib));
--- a/savoryport_core/src/replica.rs
+++ b/savoryport_core/src/replica.rs
@@ -1,7 +1,8 @@
-//! What a node knows of the fleet, and how it takes over what others know.
+//! A node's replica of the fleet's state, and the updates by which nodes synchronize it.
 //!
-//! Everything here only moves forward: a higher version replaces a lower one, whoever brings it,
-//! and a lower one is ignored. A node that restarts during an outage therefore asks its peers.
+//! All state is versioned and only moves forward: a higher version replaces a lower one, whichever
+//! node sends it, and a lower one is ignored. A node that restarts while the key-value service is
+//! unreachable can therefore get the state from its peers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,74 +14,75 @@
 use crate::table::{Table, TableDelta};
 
 value! {
-    /// What stands on one server, as its ledger says.
+    /// What one server has in memory, according to its ledger.
     pub struct Residency {
-        /// Rises with every change of the ledger.
+        /// The revision of the ledger, which increases with every change.
         pub revision: u64,
-        /// The plan that the ledger's holder follows.
+        /// The version of the plan that the ledger's holder follows.
         pub plan_version: u64,
-        /// Models and adapters that answer.
+        /// The models and adapters that are loaded and can answer requests.
         pub loaded: Vec<Name>,
-        /// The process that gives the orders.
+        /// The VM of the control process that may send orders to the server.
         pub holder: Option<Name>,
-        /// Memory in MiB by ledger: reserved, retained, capacity.
+        /// The server's memory according to its ledger.
         pub memory: MemoryUse,
     }
 
-    /// Memory of one server in MiB.
+    /// The use of one server's memory, in MiB.
     pub struct MemoryUse {
-        /// All reservations.
+        /// The memory of all reservations, in MiB.
         pub reserved_mib: u32,
-        /// Those held back for orders that may still arrive.
+        /// The part of it that is kept reserved for load orders that may still arrive, in MiB.
         pub retained_mib: u32,
-        /// What may be reserved.
+        /// The memory that may be reserved, in MiB.
         pub capacity_mib: u32,
     }
 
-    /// A short fact about the fleet, such as the holder of a lease or a drain that was ordered.
+    /// The value of a small key in the key-value service, such as the holder of a lease or an order
+    /// to drain a VM.
     pub struct Mark {
-        /// The key-value service's revision of the change.
+        /// The key-value service's revision of the latest change.
         pub revision: u64,
-        /// The fact, or `None` once it no longer holds.
+        /// The value, or `None` after the mark was removed.
         pub value: Option<Name>,
     }
 
-    /// The versions that a node has, so that others send only what is newer.
+    /// The versions that a node has, which it sends to others to receive only what is newer.
     #[derive(Default)]
     pub struct Versions {
-        /// The table's version.
+        /// The version of the table.
         pub table: u64,
-        /// The plan's version.
+        /// The version of the plan.
         pub plan: u64,
         /// The version of the list of VMs.
         pub vms: u64,
-        /// The revision up to which the node knows of every change of ledgers and marks. What it
-        /// learned directly, such as its own writes, does not count.
+        /// The watermark: the revision up to which the node has received every change of ledgers and
+        /// marks. Changes that it learned individually, such as its own writes, do not raise it.
         pub seen: u64,
     }
 
-    /// What a node lacks.
+    /// The state that one node sends to another that lacks it.
     #[derive(Default)]
     pub struct Update {
-        /// The whole table, for a node that is too far behind for rows.
+        /// The whole table, for a node whose version is too old for a delta.
         pub table: Option<Table>,
-        /// The rows that differ.
+        /// The changed rows of the table.
         pub delta: Option<TableDelta>,
-        /// The plan.
+        /// The plan, if it is newer.
         pub plan: Option<Plan>,
-        /// The list of VMs.
+        /// The list of VMs, if it is newer.
         pub vms: Option<VmList>,
-        /// The servers whose ledgers changed.
+        /// The servers whose ledgers changed, by name.
         pub residency: BTreeMap<Name, Residency>,
-        /// The marks that changed.
+        /// The marks that changed, by key.
         pub marks: BTreeMap<Name, Mark>,
-        /// The revision up to which the sender knows of every change, or 0 for single news.
+        /// The sender's watermark, or 0 for an update with individual changes.
         pub seen: u64,
     }
 }
 
 impl Residency {
-    /// Returns what the entries need to know of a ledger.
+    /// Extracts from a ledger what entries need to know.
     pub fn from_record(record: &ServerRecord, revision: u64) -> Self {
         let loaded = |state| state == ReservationState::Loaded;
         Self {
@@ -100,10 +102,10 @@
     }
 }
 
-/// How many row deltas a node keeps for those that are behind.
-const KEPT_DELTAS: usize = 64;
+/// The number of table deltas that a node keeps for others with an older version.
+const MAX_KEPT_DELTAS: usize = 64;
 
-/// What a node knows.
+/// A node's copy of the fleet's state.
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
     /// The table in force.
@@ -112,9 +114,9 @@
     pub plan: Arc<Plan>,
     /// The list of VMs.
     pub vms: Arc<VmList>,
-    /// What stands on each server.
+    /// The contents of each server, by server name.
     pub residency: BTreeMap<Name, Residency>,
-    /// Short facts by key.
+    /// The marks by key.
     pub marks: BTreeMap<Name, Mark>,
     deltas: Vec<TableDelta>,
     seen: u64,
@@ -131,12 +133,13 @@
         }
     }
 
-    /// Takes over what is newer and returns whether anything was, be it only the watermark.
+    /// Merges the newer parts of an update and returns whether there were any, including a higher
+    /// watermark.
     pub fn merge(&mut self, update: Update) -> bool {
         let before = self.versions();
         let table = update.table.or_else(|| update.delta.and_then(|d| d.apply(&self.table)));
         if let Some(table) = table {
-            self.take_table(table);
+            self.merge_table(table);
         }
         if let Some(plan) = update.plan.filter(|plan| plan.version > self.plan.version) {
             self.plan = Arc::new(plan);
@@ -146,17 +149,17 @@
         }
         let mut changed = false;
         for (server, residency) in update.residency {
-            changed |= self.take_residency(server, residency);
+            changed |= self.merge_residency(server, residency);
         }
         for (key, mark) in update.marks {
-            changed |= self.take_mark(key, mark);
+            changed |= self.merge_mark(key, mark);
         }
         self.seen = self.seen.max(update.seen);
         changed || before != self.versions()
     }
 
-    /// Adds to a whole listing of the key-value service what must have been removed since: marks
-    /// that this node knows and the listing lacks.
+    /// Adds a removal to a full listing of the key-value service for each mark that this node knows
+    /// but the listing lacks, since such a mark must have been deleted.
     pub fn add_removed_marks(&self, mut listing: Update) -> Update {
         let revision = listing.seen;
         for (key, mark) in &self.marks {
@@ -167,7 +170,7 @@
         listing
     }
 
-    fn take_mark(&mut self, key: Name, mark: Mark) -> bool {
+    fn merge_mark(&mut self, key: Name, mark: Mark) -> bool {
         let is_newer = mark.revision > self.marks.get(&key).map_or(0, |known| known.revision);
         if is_newer {
             self.marks.insert(key, mark);
@@ -175,30 +178,30 @@
         is_newer
     }
 
-    fn take_table(&mut self, table: Table) {
+    fn merge_table(&mut self, table: Table) {
         if table.version <= self.table.version {
             return;
         }
         self.deltas.push(TableDelta::between(&self.table, &table));
-        let excess = self.deltas.len().saturating_sub(KEPT_DELTAS);
+        let excess = self.deltas.len().saturating_sub(MAX_KEPT_DELTAS);
         self.deltas.drain(..excess);
         self.table = Arc::new(table);
     }
 
-    fn take_residency(&mut self, server: Name, residency: Residency) -> bool {
-        let known = self.residency.get(&server).map_or(0, |known| known.revision);
-        let is_newer = residency.revision > known;
+    fn merge_residency(&mut self, server: Name, residency: Residency) -> bool {
+        let known_revision = self.residency.get(&server).map_or(0, |known| known.revision);
+        let is_newer = residency.revision > known_revision;
         if is_newer {
             self.residency.insert(server, residency);
         }
         is_newer
     }
 
-    /// Returns what a node with the given versions lacks.
+    /// Returns the state that a node with the given versions lacks.
     pub fn update_for(&self, have: &Versions) -> Update {
         let mut update = Update::default();
         if have.table < self.table.version {
-            let delta = (have.table > 0).then(|| self.delta_from(have.table)).flatten();
+            let delta = (have.table > 0).then(|| self.combined_delta(have.table)).flatten();
             update.table = delta.is_none().then(|| (*self.table).clone());
             update.delta = delta;
         }
@@ -220,10 +223,11 @@
         update
     }
 
-    /// Returns whether an item stays reachable without the copy on a server.
+    /// Returns whether an item stays reachable without its copy on a server.
     ///
-    /// It does where the plan's home of it is another server whose ledger follows this plan and has
-    /// it loaded: that copy stays until a later plan names another home, and that one has it loaded.
+    /// This holds if the plan's home for the item is another server whose ledger follows this plan and
+    /// has the item loaded: that copy stays until a later plan names another home and the new home has
+    /// the item loaded.
     pub fn may_unload(&self, server: &str, item: &str) -> bool {
         let Some(home) = self.plan.home_of(item, &self.table) else {
             return self.table.get(item).is_none();
@@ -235,24 +239,25 @@
             })
     }
 
-    /// Returns the value of a mark that holds.
+    /// Returns the value of a mark, or `None` if it is unknown or was removed.
     pub fn mark(&self, key: &str) -> Option<&Name> {
         self.marks.get(key)?.value.as_ref()
     }
 
-    fn delta_from(&self, version: u64) -> Option<TableDelta> {
+    /// Returns the kept deltas from `version` on, combined into one.
+    fn combined_delta(&self, version: u64) -> Option<TableDelta> {
         let start = self.deltas.iter().position(|delta| delta.from == version)?;
-        let steps = &self.deltas[start..];
-        let connected = steps.windows(2).all(|pair| pair[0].to == pair[1].from);
-        let to = steps.last()?;
-        let changes = steps.iter().flat_map(|delta| delta.changes.clone()).collect();
-        let (from, change_id) = (version, to.change_id.clone());
-        connected.then_some(TableDelta { from, to: to.to, change_id, changes })
+        let deltas = &self.deltas[start..];
+        let is_contiguous = deltas.windows(2).all(|pair| pair[0].to == pair[1].from);
+        let last = deltas.last()?;
+        let changes = deltas.iter().flat_map(|delta| delta.changes.clone()).collect();
+        let (from, change_id) = (version, last.change_id.clone());
+        is_contiguous.then_some(TableDelta { from, to: last.to, change_id, changes })
     }
 }
 
 impl Update {
-    /// Returns whether there is no news in it.
+    /// Returns whether the update contains nothing but the watermark.
     pub fn is_empty(&self) -> bool {
         *self == Self { seen: self.seen, ..Self::default() }
     }
--- a/savoryport_core/src/table/delta.rs
+++ b/savoryport_core/src/table/delta.rs
@@ -1,4 +1,4 @@
-//! Differences between two versions of the table.
+//! Differences between versions of the table, and three-way merges.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,38 +8,38 @@
 use crate::Name;
 
 value! {
-    /// One row that differs.
+    /// The change of one row.
     #[serde(rename_all = "snake_case")]
     pub enum RowChange {
-        /// The row is new or has new values.
+        /// The row was added or its values changed.
         Set(Row),
-        /// The row is gone.
+        /// The row with this name was removed.
         Remove(Name),
     }
 
-    /// The rows that lead from one version of the table to a later one.
+    /// The changes from one version of the table to a later one.
     pub struct TableDelta {
-        /// The version that the changes start from.
+        /// The version that the changes apply to.
         pub from: u64,
-        /// The version that they lead to.
+        /// The version that results from them.
         pub to: u64,
-        /// The change id of that version.
+        /// The change id of the resulting version.
         pub change_id: String,
-        /// The rows that differ.
+        /// The changed rows.
         pub changes: Vec<RowChange>,
     }
 }
 
-/// Two operators changed the same rows.
+/// The error for rows that two operators changed in different ways.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("rows changed on both sides: {}", .names.iter().map(|n| &**n).collect::<Vec<_>>().join(", "))]
 pub struct MergeConflict {
-    /// The rows that both changed, in different ways.
+    /// The names of these rows.
     pub names: Vec<Name>,
 }
 
 impl RowChange {
-    /// Returns the name of the row.
+    /// Returns the name of the changed row.
     pub fn name(&self) -> &Name {
         match self {
             Self::Set(row) => &row.name,
@@ -49,13 +49,13 @@
 }
 
 impl TableDelta {
-    /// Returns what leads from `old` to `new`.
+    /// Returns the changes from `old` to `new`.
     pub fn between(old: &Table, new: &Table) -> Self {
-        let changes = diff(&old.rows, &new.rows);
+        let changes = diff_rows(&old.rows, &new.rows);
         Self { from: old.version, to: new.version, change_id: new.change_id.clone(), changes }
     }
 
-    /// Applies the changes, or returns `None` where the table is not the version they start from.
+    /// Applies the changes, or returns `None` if the table does not have the version `from`.
     pub fn apply(&self, table: &Table) -> Option<Table> {
         if table.version != self.from {
             return None;
@@ -65,34 +65,34 @@
     }
 }
 
-/// Returns the rows that differ between two tables.
-pub(crate) fn diff(old: &[Row], new: &[Row]) -> Vec<RowChange> {
-    let before: BTreeMap<&str, &Row> = old.iter().map(|row| (&*row.name, row)).collect();
-    let after: BTreeSet<&str> = new.iter().map(|row| &*row.name).collect();
-    let changed = new.iter().filter(|row| before.get(&*row.name) != Some(row));
-    let removed = old.iter().filter(|row| !after.contains(&*row.name));
+/// Returns the changes from the rows `old` to the rows `new`.
+pub(crate) fn diff_rows(old: &[Row], new: &[Row]) -> Vec<RowChange> {
+    let old_rows: BTreeMap<&str, &Row> = old.iter().map(|row| (&*row.name, row)).collect();
+    let new_names: BTreeSet<&str> = new.iter().map(|row| &*row.name).collect();
+    let changed = new.iter().filter(|row| old_rows.get(&*row.name) != Some(row));
+    let removed = old.iter().filter(|row| !new_names.contains(&*row.name));
     changed
         .map(|row| RowChange::Set(row.clone()))
         .chain(removed.map(|row| RowChange::Remove(row.name.clone())))
         .collect()
 }
 
-/// Merges an operator's edit of `base` with what others made of it meanwhile.
+/// Merges an operator's edit of `base` with the changes that others made to `base` in the meantime.
 ///
 /// # Errors
 ///
-/// Returns the rows that both sides changed in different ways.
+/// Returns an error if both sides changed the same row in different ways.
 pub fn merge_rows(base: &[Row], ours: &[Row], theirs: &[Row]) -> Result<Vec<Row>, MergeConflict> {
-    let our_changes = diff(base, ours);
+    let our_changes = diff_rows(base, ours);
     let their_changes: BTreeMap<Name, RowChange> =
-        diff(base, theirs).into_iter().map(|change| (change.name().clone(), change)).collect();
-    let names: Vec<Name> = our_changes
+        diff_rows(base, theirs).into_iter().map(|change| (change.name().clone(), change)).collect();
+    let conflicts: Vec<Name> = our_changes
         .iter()
         .filter(|change| their_changes.get(change.name()).is_some_and(|other| other != *change))
         .map(|change| change.name().clone())
         .collect();
-    if !names.is_empty() {
-        return Err(MergeConflict { names });
+    if !conflicts.is_empty() {
+        return Err(MergeConflict { names: conflicts });
     }
     Ok(apply_changes(theirs, &our_changes))
 }
@@ -100,11 +100,11 @@
 fn apply_changes(rows: &[Row], changes: &[RowChange]) -> Vec<Row> {
     let mut rows = rows.to_vec();
     for change in changes {
-        let at = rows.iter().position(|row| row.name == *change.name());
-        match (change, at) {
-            (RowChange::Set(row), Some(at)) => rows[at] = row.clone(),
+        let index = rows.iter().position(|row| row.name == *change.name());
+        match (change, index) {
+            (RowChange::Set(row), Some(index)) => rows[index] = row.clone(),
             (RowChange::Set(row), None) => rows.push(row.clone()),
-            (RowChange::Remove(_), Some(at)) => drop(rows.remove(at)),
+            (RowChange::Remove(_), Some(index)) => drop(rows.remove(index)),
             (RowChange::Remove(_), None) => {}
         }
     }
--- a/savoryport_core/src/table/mod.rs
+++ b/savoryport_core/src/table/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' table: one row a model, adapter or plain service.
+//! The operators' table of models, adapters and services, one per row.
 //!
-//! The rules for its file are in `docs/INTERFACES.md`.
+//! `docs/INTERFACES.md` specifies the format of its file.
 
 mod delta;
 mod parse;
@@ -15,18 +15,18 @@
 use crate::Name;
 use crate::rank::Rank;
 
-/// The largest table in bytes of JSON that the key-value service holds in one value.
+/// The maximum size of the table as JSON, in bytes; the key-value service stores it as one value.
 pub const MAX_TABLE_BYTES: usize = 1_000_000;
 
 key! {
-    /// What a row of the table describes.
+    /// The kind of item that a row of the table describes.
     #[serde(rename_all = "lowercase")]
     pub enum RowKind {
         /// A whole language model.
         Model,
         /// An adapter on top of a model.
         Adapter,
-        /// A plain service beside the engines.
+        /// A service that is not served by a model engine.
         Service,
     }
 }
@@ -34,88 +34,90 @@
 value! {
     /// One row of the table.
     pub struct Row {
-        /// What the row describes.
+        /// The kind of item that the row describes.
         pub kind: RowKind,
-        /// The name that callers use, unique in the table.
+        /// The name used in requests, unique in the table.
         pub name: Name,
-        /// The model that an adapter belongs to.
+        /// The base model of an adapter; `None` for other kinds.
         pub base: Option<Name>,
-        /// Accelerator memory in MiB that a copy takes.
+        /// The accelerator memory that a copy takes, in MiB.
         pub memory_mib: u32,
-        /// Relative worth against other rows of the same rank.
+        /// The relative importance among rows of the same rank.
         pub weight: u32,
-        /// The rank of the requests.
+        /// The rank of requests for the item.
         pub rank: Rank,
-        /// The most requests that one backend server may have in progress.
+        /// The maximum number of requests for the item that may be in progress on one backend server.
         pub max_in_flight: u32,
-        /// The target for the first token in milliseconds.
+        /// The target time to the first token, in milliseconds.
         pub first_token_ms: u32,
-        /// The target between two tokens in milliseconds.
+        /// The target time between two tokens, in milliseconds.
         pub between_tokens_ms: u32,
-        /// The fewest copies that are kept in memory.
+        /// The minimum number of copies that are kept loaded.
         pub min_copies: u32,
-        /// Whether a request may be sent again after it may have run.
+        /// Whether a request may be repeated after an attempt that may have been executed.
         pub repeatable: bool,
     }
 
-    /// The table in force: its rows with the version that the key-value service gave them.
+    /// A version of the table.
     #[derive(Default)]
     pub struct Table {
-        /// Rises with every accepted change and never falls.
+        /// The version, which increases with every accepted change and never decreases.
         pub version: u64,
-        /// Names the change that led here, so that a lost answer can be settled by reading.
+        /// Identifies the change that produced this version. If the response to a write is lost, reading
+        /// the id back shows whether the write took effect.
         pub change_id: String,
-        /// The rows, in the operators' order.
+        /// The rows, in the order of the operators' file.
         pub rows: Vec<Row>,
     }
 }
 
-/// One cell that the table may not hold.
+/// An invalid cell of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("line {line}, column {column}: {problem} (found {value:?})")]
 pub struct CellError {
-    /// The line in the file; the header is line 1.
+    /// The line number in the file; the header is line 1.
     pub line: usize,
-    /// The column's name.
+    /// The name of the column.
     pub column: String,
-    /// The value found.
+    /// The invalid value.
     pub value: String,
-    /// What is wrong with it.
+    /// The reason why the value is invalid.
     pub problem: String,
 }
 
-/// Everything wrong with a table, so that an operator mends it in one go.
+/// The errors in a table. All invalid cells are reported together, so that an operator can correct
+/// them at once.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TableError {
-    /// Some cells are wrong.
+    /// Some cells are invalid.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     Cells(Vec<CellError>),
     /// The header lacks columns.
     #[error("line 1: missing column(s) {0}")]
     MissingColumns(String),
-    /// The file is no CSV.
+    /// The file is not valid CSV.
     #[error("line {line}: not a CSV record: {problem}")]
     NotCsv {
-        /// The line at which reading stopped.
+        /// The line number at which reading stopped.
         line: u64,
-        /// The reader's words.
+        /// The CSV reader's error message.
         problem: String,
     },
-    /// The table is larger than a value of the key-value service.
+    /// The table is larger than the key-value service may store in one value.
     #[error("the table takes {bytes} bytes of JSON; at most {MAX_TABLE_BYTES} are allowed")]
     TooLarge {
-        /// Bytes of the table as JSON.
+        /// The size of the table as JSON, in bytes.
         bytes: usize,
     },
 }
 
 impl Table {
-    /// Returns the row of that name.
+    /// Returns the row with the given name.
     pub fn get(&self, name: &str) -> Option<&Row> {
         self.rows.iter().find(|row| &*row.name == name)
     }
 
-    /// Returns the rows that take accelerator memory.
+    /// Returns the rows of models and adapters, which take accelerator memory.
     pub fn items(&self) -> impl Iterator<Item = &Row> {
         self.rows.iter().filter(|row| row.kind != RowKind::Service)
     }
@@ -134,32 +136,33 @@
     }
 }
 
-/// Checks that the fleet's memory holds the fewest copies of every row.
+/// Checks that the minimum copies of all rows fit into the accelerators' memory.
 ///
-/// `capacities` are the memory sizes of the engines in MiB. The check packs the largest rows first,
-/// so it may refuse a table that a cleverer packing could just hold, and never accepts one that
-/// does not fit.
+/// `capacities` are the engines' memory sizes in MiB. The check packs greedily, largest rows first.
+/// It may therefore reject a table that an optimal packing could just fit, but it never accepts one
+/// that does not fit.
 ///
 /// # Errors
 ///
-/// Returns the rows that do not fit, by line of the file.
+/// Returns an error for each row that does not fit, with its line in the file.
 pub fn check_memory_fit(rows: &[Row], capacities: &[u32]) -> Result<(), TableError> {
     let largest = capacities.iter().copied().max().unwrap_or(0);
     let mut errors = Vec::new();
     let mut free = capacities.to_vec();
-    let bundles = bundles(rows);
+    let bundles = make_bundles(rows);
     for bundle in &bundles {
         if bundle.total_mib > largest {
-            let problem = format!("larger than any accelerator ({largest} MiB)");
-            errors.push(bundle.error(rows, "memory_mib", problem));
+            let problem = format!("larger than the largest accelerator ({largest} MiB)");
+            errors.push(bundle.cell_error(rows, "memory_mib", problem));
             continue;
         }
-        for _ in 0..bundle.copies {
+        for _ in 0..bundle.min_copies {
             match free.iter_mut().filter(|free| **free >= bundle.total_mib).max() {
-                Some(slot) => *slot -= bundle.total_mib,
+                Some(server_free) => *server_free -= bundle.total_mib,
                 None => {
-                    let problem = "no server has room left for its fewest copies".to_owned();
-                    errors.push(bundle.error(rows, "min_copies", problem));
+                    let problem =
+                        "no server has enough free memory for all minimum copies".to_owned();
+                    errors.push(bundle.cell_error(rows, "min_copies", problem));
                     break;
                 }
             }
@@ -168,39 +171,40 @@
     if errors.is_empty() { Ok(()) } else { Err(TableError::Cells(errors)) }
 }
 
-/// A model with one copy of each of its adapters, which must share its server.
+/// A model with its adapters, which must be placed on the same server.
 struct Bundle {
-    index: usize,
-    copies: u32,
+    row_index: usize,
+    min_copies: u32,
     total_mib: u32,
 }
 
 impl Bundle {
-    fn error(&self, rows: &[Row], column: &str, problem: String) -> CellError {
-        let row = &rows[self.index];
+    fn cell_error(&self, rows: &[Row], column: &str, problem: String) -> CellError {
+        let row = &rows[self.row_index];
         let value = if column == "min_copies" { row.min_copies } else { row.memory_mib };
         let value = value.to_string();
-        CellError { line: self.index + 2, column: column.to_owned(), value, problem }
+        CellError { line: self.row_index + 2, column: column.to_owned(), value, problem }
     }
 }
 
-fn bundles(rows: &[Row]) -> Vec<Bundle> {
+fn make_bundles(rows: &[Row]) -> Vec<Bundle> {
     let mut adapters: HashMap<&str, (u32, u32)> = HashMap::new();
     for row in rows.iter().filter(|row| row.kind == RowKind::Adapter) {
         let base = row.base.as_deref().unwrap_or_default();
-        let (total, copies) = adapters.entry(base).or_default();
-        *total = total.saturating_add(row.memory_mib);
-        *copies = row.min_copies.max(*copies);
+        let (total_mib, min_copies) = adapters.entry(base).or_default();
+        *total_mib = total_mib.saturating_add(row.memory_mib);
+        *min_copies = row.min_copies.max(*min_copies);
     }
     let mut bundles: Vec<Bundle> = rows
         .iter()
         .enumerate()
         .filter(|(_, row)| row.kind == RowKind::Model)
-        .map(|(index, row)| {
-            let (extra, copies) = adapters.get(&*row.name).copied().unwrap_or_default();
-            let total_mib = row.memory_mib.saturating_add(extra);
-            let copies = row.min_copies.max(copies);
-            Bundle { index, copies, total_mib }
+        .map(|(row_index, row)| {
+            let (adapters_mib, adapter_copies) =
+                adapters.get(&*row.name).copied().unwrap_or_default();
+            let total_mib = row.memory_mib.saturating_add(adapters_mib);
+            let min_copies = row.min_copies.max(adapter_copies);
+            Bundle { row_index, min_copies, total_mib }
         })
         .collect();
     bundles.sort_by_key(|bundle| std::cmp::Reverse(bundle.total_mib));
