--- a/savoryport_core/tests/dispatch.rs
+++ b/savoryport_core/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Queues, shares, limits and refusals of one entry.
+//! Queueing, guaranteed shares, concurrency limits and refusals in the dispatcher of one entry.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
 }
 
 impl Entry {
-    /// Starts with servers that have so many slots, and models `a` and `b` on each.
+    /// Creates an entry for servers with the given number of slots and the models `a` and `b` loaded.
     fn new(servers: &[&str], slots: f64) -> Self {
         let mut dispatch = Dispatch::new(DispatchConfig {
             region: "r".into(),
@@ -29,7 +29,7 @@
             region_round_trip: Duration::from_millis(40),
             prefill_per_token: Duration::ZERO,
         });
-        dispatch.set_servers(servers.iter().map(|name| info(name, "r", false)).collect());
+        dispatch.set_servers(servers.iter().map(|name| server_info(name, "r", false)).collect());
         Self { dispatch, now: Instant::now(), next_id: 0 }
     }
 
@@ -52,7 +52,7 @@
         self.dispatch.submit(req, self.now)
     }
 
-    /// Ends a request on a server after a time, and returns what that set off.
+    /// Advances the time, completes a request on a server and returns the resulting actions.
     fn finish(&mut self, server: &str, rank: Rank, after: Duration) -> Vec<Action> {
         self.now += after;
         let mut sample = Sample::in_progress(0, SECOND);
@@ -62,21 +62,21 @@
     }
 }
 
-fn info(name: &str, region: &str, leaving: bool) -> ServerInfo {
+fn server_info(name: &str, region: &str, leaving: bool) -> ServerInfo {
     let loaded = ["a", "b"].map(Name::from).into();
     ServerInfo { name: name.into(), region: region.into(), loaded, leaving }
 }
 
-fn started(actions: &[Action]) -> Vec<&str> {
-    let server = |action: &Action| match action {
+fn started_servers(actions: &[Action]) -> Vec<&str> {
+    let started_server = |action: &Action| match action {
         Action::Start { server, .. } => Some(server.to_string()),
         Action::Refuse { .. } => None,
     };
-    let names: Vec<String> = actions.iter().filter_map(server).collect();
+    let names: Vec<String> = actions.iter().filter_map(started_server).collect();
     names.into_iter().map(|name| if name == "s1" { "s1" } else { "s2" }).collect()
 }
 
-fn cause(actions: &[Action]) -> Option<RefusalCause> {
+fn refusal_cause(actions: &[Action]) -> Option<RefusalCause> {
     actions.iter().find_map(|action| match action {
         Action::Refuse { cause, .. } => Some(*cause),
         Action::Start { .. } => None,
@@ -84,11 +84,11 @@
 }
 
 #[test]
-fn requests_spread_over_servers_that_have_room() {
+fn requests_spread_evenly_over_servers_with_free_slots() {
     let mut entry = Entry::new(&["s1", "s2"], 4.0);
     let mut counts = (0, 0);
     for _ in 0..8 {
-        match started(&entry.submit(Rank::Normal))[..] {
+        match started_servers(&entry.submit(Rank::Normal))[..] {
             ["s1"] => counts.0 += 1,
             ["s2"] => counts.1 += 1,
             ref other => panic!("{other:?}"),
@@ -98,17 +98,17 @@
 }
 
 #[test]
-fn a_model_that_is_nowhere_is_refused_at_once() {
+fn a_request_for_a_model_that_no_server_has_loaded_is_refused_at_once() {
     let mut entry = Entry::new(&["s1"], 4.0);
     let req = entry.request("nowhere", Rank::Urgent);
     let actions = entry.dispatch.submit(req, entry.now);
-    assert_eq!(cause(&actions), Some(RefusalCause::NotResident));
+    assert_eq!(refusal_cause(&actions), Some(RefusalCause::NotResident));
 }
 
 #[test]
-fn what_would_be_late_is_refused_at_once_with_a_time_to_come_back() {
+fn a_request_that_would_miss_its_deadline_is_refused_at_once_with_a_retry_delay() {
     let mut entry = Entry::new(&["s1"], 1.0);
-    assert_eq!(started(&entry.submit(Rank::Normal)), ["s1"]);
+    assert_eq!(started_servers(&entry.submit(Rank::Normal)), ["s1"]);
     let mut refused = None;
     for _ in 0..50 {
         let actions = entry.submit(Rank::Normal);
@@ -117,23 +117,24 @@
             break;
         }
     }
-    let (cause, retry_after) = refused.expect("a queue of fifty is too long for one slot");
+    let (cause, retry_after) =
+        refused.expect("one slot cannot serve fifty queued requests within their deadlines");
     assert_eq!(cause, RefusalCause::WouldBeLate);
     assert!(retry_after >= Duration::from_millis(100));
 }
 
 #[test]
-fn what_waits_past_its_deadline_is_refused_at_the_next_tick() {
+fn a_request_whose_deadline_passes_in_the_queue_is_refused_at_the_next_tick() {
     let mut entry = Entry::new(&["s1"], 1.0);
     entry.submit(Rank::Normal);
-    assert!(entry.submit(Rank::Normal).is_empty(), "the second waits");
+    assert!(entry.submit(Rank::Normal).is_empty(), "the second request waits");
     let actions = entry.dispatch.tick(entry.now + SECOND * 2);
-    assert_eq!(cause(&actions), Some(RefusalCause::Expired));
+    assert_eq!(refusal_cause(&actions), Some(RefusalCause::Expired));
     assert_eq!(entry.dispatch.queue_lengths(), [0, 0, 0]);
 }
 
 #[test]
-fn the_most_urgent_goes_first() {
+fn the_most_urgent_waiting_request_starts_first() {
     let mut entry = Entry::new(&["s1"], 1.0);
     entry.submit(Rank::Normal);
     let batch = entry.request("a", Rank::Batch);
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn while_one_rank_floods_each_other_keeps_its_share_of_the_slots() {
+fn every_other_rank_keeps_its_guaranteed_share_while_one_rank_floods() {
     for flooding in Rank::ALL {
         let mut entry = Entry::new(&["s1"], 10.0);
         let mut ranks: HashMap<u64, Rank> = HashMap::new();
@@ -154,7 +155,7 @@
         let mut served = [0_u32; 3];
         for round in 0..3_000 {
             let mut actions = Vec::new();
-            // The flooding rank always has more than fits; the others ask for a slot each round.
+            // The flooding rank always submits more than fits; the others submit one request a round.
             for rank in Rank::ALL {
                 for _ in 0..if rank == flooding { 5 } else { 1 } {
                     actions.extend(entry.submit(rank));
@@ -175,71 +176,76 @@
         let total: u32 = served.iter().sum();
         for (rank, share) in Rank::ALL.into_iter().zip([0.6, 0.3, 0.1]) {
             if rank != flooding {
-                let got = f64::from(served[rank.index()]) / f64::from(total);
-                // Each of the others asks for a third of the slots at the most.
-                let due = f64::min(share, 1.0 / 3.0) * 0.8;
-                assert!(got >= due, "{flooding} floods: {rank} got {got:.2} of {due:.2}");
+                let actual = f64::from(served[rank.index()]) / f64::from(total);
+                // Each of the other ranks demands at most a third of the slots.
+                let expected = f64::min(share, 1.0 / 3.0) * 0.8;
+                assert!(
+                    actual >= expected,
+                    "{flooding} floods: {rank} got {actual:.2} of {expected:.2}"
+                );
             }
         }
     }
 }
 
 #[test]
-fn what_a_rank_leaves_unused_is_lent() {
+fn unused_shares_are_lent_to_other_ranks() {
     let mut entry = Entry::new(&["s1"], 10.0);
-    let lent: usize = (0..10).map(|_| started(&entry.submit(Rank::Batch)).len()).sum();
+    let lent: usize = (0..10).map(|_| started_servers(&entry.submit(Rank::Batch)).len()).sum();
     assert_eq!(lent, 10);
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_new() {
+fn a_leaving_server_gets_no_new_requests() {
     let mut entry = Entry::new(&["s1", "s2"], 4.0);
-    entry.dispatch.set_servers(vec![info("s1", "r", true), info("s2", "r", false)]);
+    entry.dispatch.set_servers(vec![server_info("s1", "r", true), server_info("s2", "r", false)]);
     for _ in 0..4 {
-        assert_eq!(started(&entry.submit(Rank::Urgent)), ["s2"]);
+        assert_eq!(started_servers(&entry.submit(Rank::Urgent)), ["s2"]);
     }
-    assert!(started(&entry.submit(Rank::Urgent)).is_empty());
+    assert!(started_servers(&entry.submit(Rank::Urgent)).is_empty());
 }
 
 #[test]
-fn a_suspended_server_is_asked_again_after_its_time() {
+fn a_suspended_server_is_used_again_after_the_suspension() {
     let mut entry = Entry::new(&["s1"], 4.0);
     entry.dispatch.suspend("s1", entry.now + SECOND);
-    assert_eq!(cause(&entry.submit(Rank::Urgent)), Some(RefusalCause::NotResident));
+    assert_eq!(refusal_cause(&entry.submit(Rank::Urgent)), Some(RefusalCause::NotResident));
     entry.now += SECOND;
-    assert_eq!(started(&entry.submit(Rank::Urgent)), ["s1"]);
+    assert_eq!(started_servers(&entry.submit(Rank::Urgent)), ["s1"]);
 }
 
 #[test]
-fn the_tables_limit_of_a_model_holds_on_each_server() {
+fn the_tables_max_in_flight_holds_on_each_server() {
     let mut entry = Entry::new(&["s1"], 10.0);
     let mut submit = |item: &str| {
         let req = Request { max_in_flight: 2, ..entry.request(item, Rank::Normal) };
-        started(&entry.dispatch.submit(req, entry.now)).len()
+        started_servers(&entry.dispatch.submit(req, entry.now)).len()
     };
-    // A later request overtakes nobody at its arrival; the next look finds what may start.
+    // A new request does not overtake a waiting one on arrival; the next tick starts what may start.
     assert_eq!((submit("a"), submit("a"), submit("a"), submit("b")), (1, 1, 0, 0));
-    assert_eq!(started(&entry.dispatch.tick(entry.now)), ["s1"]);
-    assert_eq!(started(&entry.finish("s1", Rank::Normal, SECOND / 10)), ["s1"]);
+    assert_eq!(started_servers(&entry.dispatch.tick(entry.now)), ["s1"]);
+    assert_eq!(started_servers(&entry.finish("s1", Rank::Normal, SECOND / 10)), ["s1"]);
 }
 
 #[test]
-fn the_other_region_serves_only_what_would_be_late_here() {
+fn another_region_is_used_only_without_a_free_slot_in_the_own_region() {
     let mut entry = Entry::new(&[], 4.0);
-    entry.dispatch.set_servers(vec![info("s1", "r", false), info("s2", "far", false)]);
+    entry
+        .dispatch
+        .set_servers(vec![server_info("s1", "r", false), server_info("s2", "far", false)]);
     let all: Vec<Action> = (0..8).flat_map(|_| entry.submit(Rank::Normal)).collect();
-    assert_eq!(started(&all), ["s1", "s1", "s1", "s1", "s2", "s2", "s2", "s2"]);
+    assert_eq!(started_servers(&all), ["s1", "s1", "s1", "s1", "s2", "s2", "s2", "s2"]);
 }
 
 #[test]
-fn limits_of_entries_that_share_a_server_meet() {
-    // Sixteen slots, two entries that start far apart.
+fn limits_of_entries_that_share_a_server_converge() {
+    // A server with sixteen slots and two entries whose limits start far apart.
     let mut limits = [ConcurrencyLimit::new(30.0, 256.0), ConcurrencyLimit::new(2.0, 256.0)];
     for _ in 0..20_000 {
         let total: f64 = limits.iter().map(ConcurrencyLimit::value).sum();
-        let pace = (16.0 / total).min(1.0);
+        let target_ratio = (16.0 / total).min(1.0);
         for limit in &mut limits {
-            limit.on_sample(pace, true);
+            limit.on_sample(target_ratio, true);
         }
     }
     let [first, second] = limits.map(|limit| limit.value());
@@ -248,7 +254,7 @@
 }
 
 #[test]
-fn retries_are_a_share_of_successes() {
+fn retries_are_limited_to_a_share_of_successes() {
     let mut budget = RetryBudget::new(0.1, 5.0);
     let burst = (0..100).filter(|_| budget.try_take()).count();
     assert_eq!(burst, 5);
--- a/savoryport_core/tests/placement.rs
+++ b/savoryport_core/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Plans: within memory, everything reachable, stable in steady demand, quick after a shift.
+//! Properties of plans: they fit into memory, keep every model reachable, stay stable under steady
+//! demand and adapt quickly when demand shifts.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -30,15 +31,15 @@
 
 fn servers(count: usize, capacity_mib: u32) -> Vec<ServerCapacity> {
     (0..count)
-        .map(|at| ServerCapacity {
-            name: format!("s{at}").into(),
-            failure_domain: format!("d{}", at % 2).into(),
+        .map(|index| ServerCapacity {
+            name: format!("s{index}").into(),
+            failure_domain: format!("d{}", index % 2).into(),
             capacity_mib,
         })
         .collect()
 }
 
-fn make(
+fn next_plan(
     table: &Table,
     servers: &[ServerCapacity],
     demand: &HashMap<Name, f64>,
@@ -51,15 +52,15 @@
     plan.wanted(server, table).iter().map(|item| item.memory_mib).sum()
 }
 
-fn copies(plan: &Plan, model: &str) -> usize {
+fn copy_count(plan: &Plan, model: &str) -> usize {
     plan.servers.values().flatten().filter(|name| &***name == model).count()
 }
 
 #[test]
-fn a_model_and_its_adapters_stand_together_the_base_first() {
+fn adapters_are_placed_with_their_model_and_listed_after_it() {
     let rows = vec![adapter("x", "m", 5), model("m", 40, 1)];
     let table = Table { version: 1, rows, ..Table::default() };
-    let plan = make(&table, &servers(1, 50), &HashMap::new(), &Plan::default());
+    let plan = next_plan(&table, &servers(1, 50), &HashMap::new(), &Plan::default());
     let names: Vec<String> =
         plan.wanted("s0", &table).iter().map(|item| item.name.to_string()).collect();
     assert_eq!(names, ["m", "x"]);
@@ -68,62 +69,67 @@
 
 #[test]
 fn steady_demand_moves_nothing() {
-    let rows = (0..12).map(|at| model(&format!("m{at}"), 30, 1)).collect();
+    let rows = (0..12).map(|index| model(&format!("m{index}"), 30, 1)).collect();
     let table = Table { version: 1, rows, ..Table::default() };
     let fleet = servers(6, 100);
-    let demand = (0..12).map(|at| (format!("m{at}").into(), 1.0 + f64::from(at))).collect();
+    let demand =
+        (0..12).map(|index| (format!("m{index}").into(), 1.0 + f64::from(index))).collect();
     let mut current = Plan::default();
     for _ in 0..10 {
-        current = make(&table, &fleet, &demand, &current);
+        current = next_plan(&table, &fleet, &demand, &current);
     }
     for _ in 0..10 {
-        let next = make(&table, &fleet, &demand, &current);
+        let next = next_plan(&table, &fleet, &demand, &current);
         assert_eq!(next.version, current.version);
     }
 }
 
 #[test]
-fn demand_that_shifts_gets_copies_within_the_move_budget() {
-    let rows = (0..12).map(|at| model(&format!("m{at}"), 30, 1)).collect();
+fn a_model_with_rising_demand_gets_copies_within_the_move_budget() {
+    let rows = (0..12).map(|index| model(&format!("m{index}"), 30, 1)).collect();
     let table = Table { version: 1, rows, ..Table::default() };
     let fleet = servers(6, 100);
-    let mut current = make(&table, &fleet, &HashMap::from([("m0".into(), 50.0)]), &Plan::default());
-    let before = copies(&current, "m7");
+    let mut current =
+        next_plan(&table, &fleet, &HashMap::from([("m0".into(), 50.0)]), &Plan::default());
+    let before = copy_count(&current, "m7");
     let demand = HashMap::from([("m7".into(), 50.0)]);
     for _ in 0..5 {
-        current = make(&table, &fleet, &demand, &current);
+        current = next_plan(&table, &fleet, &demand, &current);
     }
-    assert!(copies(&current, "m7") > before, "{current:?}");
+    assert!(copy_count(&current, "m7") > before, "{current:?}");
 }
 
 #[test]
 fn a_lost_failure_domain_leaves_every_model_that_fits_reachable() {
-    let rows = (0..8).map(|at| model(&format!("m{at}"), 30, 1)).collect();
+    let rows = (0..8).map(|index| model(&format!("m{index}"), 30, 1)).collect();
     let table = Table { version: 1, rows, ..Table::default() };
     let fleet = servers(6, 100);
-    let before = make(&table, &fleet, &HashMap::new(), &Plan::default());
+    let before = next_plan(&table, &fleet, &HashMap::new(), &Plan::default());
     let left: Vec<ServerCapacity> =
         fleet.into_iter().filter(|server| &*server.failure_domain == "d0").collect();
-    let after = make(&table, &left, &HashMap::new(), &before);
-    assert!((0..8).all(|at| copies(&after, &format!("m{at}")) == 1));
+    let after = next_plan(&table, &left, &HashMap::new(), &before);
+    assert!((0..8).all(|index| copy_count(&after, &format!("m{index}")) == 1));
 }
 
 proptest! {
-    /// Whatever the demand and the fleet do, a plan stays within memory, keeps a home for every
-    /// model that it places, and lists no server twice for one model.
+    /// For any changes of demand and fleet, a plan stays within each server's memory, places at most
+    /// one copy of a model on a server, and gives models only homes that hold a copy.
     #[test]
     fn plans_stay_within_memory(
         sizes in prop::collection::vec(5..60_u32, 1..20),
         rounds in prop::collection::vec((1..8_usize, 0..20_usize, 0.0..50.0_f64), 1..12)
     ) {
-        let rows: Vec<Row> =
-            sizes.iter().enumerate().map(|(at, mib)| model(&format!("m{at}"), *mib, 1)).collect();
+        let rows: Vec<Row> = sizes
+            .iter()
+            .enumerate()
+            .map(|(index, mib)| model(&format!("m{index}"), *mib, 1))
+            .collect();
         let table = Table { version: 1, rows, ..Table::default() };
         let mut current = Plan::default();
         for (count, hot, rate) in rounds {
             let fleet = servers(count, 100);
             let demand = HashMap::from([(Name::from(format!("m{hot}")), rate)]);
-            current = make(&table, &fleet, &demand, &current);
+            current = next_plan(&table, &fleet, &demand, &current);
             for server in &fleet {
                 prop_assert!(used_mib(&current, &server.name, &table) <= 100);
                 let names = &current.servers[&server.name];
@@ -133,7 +139,8 @@
                 prop_assert!(current.servers[home].contains(model));
             }
             let total: u32 = sizes.iter().sum();
-            // Half the memory always suffices for items of at most 60 of 100.
+            // While at most 40 of every 100 MiB are used, some server has room for any model, as
+            // none takes more than 60 MiB.
             if total <= 40 * count as u32 {
                 prop_assert_eq!(current.homes.len(), table.rows.len());
             }
--- a/savoryport_core/tests/table.rs
+++ b/savoryport_core/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table's file: what is accepted, and one clear error for each wrong cell.
+//! The table's file and its versions: parsing, error reports, capacity check, merges and deltas.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -18,12 +18,12 @@
 fn only_error(rows: &str) -> CellError {
     match parse(rows) {
         Err(TableError::Cells(mut errors)) if errors.len() == 1 => errors.remove(0),
-        other => panic!("{rows:?}: one error expected, not {other:?}"),
+        other => panic!("{rows:?}: expected one error, got {other:?}"),
     }
 }
 
 #[test]
-fn each_wrong_cell_gets_one_error_with_its_place() {
+fn each_invalid_cell_is_reported_with_line_column_and_value() {
     let model = "model,m,,100,1,urgent,8,800,70,1,yes\n";
     let cases = [
         ("model,m,,-5,1,urgent,8,800,70,1,yes\n", 2, "memory_mib", "-5"),
@@ -48,24 +48,24 @@
             errors.iter().any(|err| err.line == line && err.column == column && err.value == value);
         assert!(found, "{rows:?}: {errors:?}");
     }
-    let twice = format!("{model}{model}");
-    assert_matches!(only_error(&twice), CellError { line: 3, column, .. } if column == "name");
+    let duplicate = format!("{model}{model}");
+    assert_matches!(only_error(&duplicate), CellError { line: 3, column, .. } if column == "name");
     let adapter = format!("{model}adapter,a,,10,1,urgent,8,800,70,1,yes\n");
     assert_matches!(only_error(&adapter), CellError { line: 3, column, .. } if column == "base");
 }
 
 #[test]
-fn spreadsheets_habits_are_accepted() {
+fn csv_written_by_spreadsheets_is_accepted() {
     let text = format!("\u{feff}{HEADER}\"model\",m,,100,1,urgent,8,800,70,1,yes\n");
     let text = text.replace('\n', "\r\n");
     let rows = parse_csv(text.as_bytes()).unwrap();
     assert_eq!((rows[0].kind, rows[0].rank), (RowKind::Model, Rank::Urgent));
-    // A quoted comma belongs to its cell, and is no good in a name.
+    // A quoted comma is part of its cell, and invalid in a name.
     assert_eq!(only_error("model,\"a,b\",,1,1,urgent,8,800,70,1,yes\n").column, "name");
 }
 
 #[test]
-fn missing_columns_and_ragged_records_are_named() {
+fn missing_columns_and_ragged_records_are_reported() {
     assert_matches!(parse_csv(b"kind,name\n"), Err(TableError::MissingColumns(names))
         if names.starts_with("base, memory_mib"));
     assert_matches!(parse("model,m\n"), Err(TableError::NotCsv { line: 2, .. }));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_table_one_byte_too_large_is_refused_with_its_size() {
+fn a_table_one_byte_too_large_is_rejected_with_its_size() {
     let row = parse("model,m,,100,1,urgent,8,800,70,1,yes\n").unwrap().remove(0);
     let mut table = Table { rows: vec![row; 3_000], ..Table::default() };
     let len = table.encode().unwrap().len();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_table_that_the_fleet_cannot_hold_is_refused_with_row_and_column() {
+fn a_table_that_does_not_fit_into_memory_is_rejected_with_row_and_column() {
     let rows = parse(
         "model,a,,60,1,urgent,8,800,70,2,yes\nadapter,x,a,30,1,urgent,8,800,70,1,yes\n\
          model,b,,50,1,urgent,8,800,70,1,yes\n",
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn disjoint_changes_merge_and_others_conflict() {
+fn changes_of_different_rows_merge_and_of_the_same_row_conflict() {
     let base = parse("model,a,,10,1,urgent,8,800,70,1,yes\nmodel,b,,10,1,urgent,8,800,70,1,yes\n")
         .unwrap();
     let (mut ours, mut theirs) = (base.clone(), base.clone());
@@ -113,7 +113,7 @@
     assert_eq!(&*conflict.names[0], "a");
 }
 
-fn rows() -> impl Strategy<Value = Vec<Row>> {
+fn arbitrary_rows() -> impl Strategy<Value = Vec<Row>> {
     prop::collection::btree_map("[a-e]", (1..99_u32, 1..9_u32), 0..5).prop_map(|rows| {
         let row = |(name, (memory_mib, weight)): (String, (u32, u32))| Row {
             kind: RowKind::Model,
@@ -133,33 +133,33 @@
 }
 
 proptest! {
-    /// No bytes whatever make the reader panic.
+    /// The parser returns rows or an error for any bytes.
     #[test]
-    fn any_bytes_are_read_or_refused(buf in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn parsing_arbitrary_bytes_does_not_panic(buf in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = parse_csv(&buf);
     }
 
-    /// Lines that look like rows reach the deeper checks.
+    /// Cells that resemble those of real rows reach the checks of single columns.
     #[test]
-    fn any_cells_are_read_or_refused(
+    fn parsing_arbitrary_cells_does_not_panic(
         cells in prop::collection::vec("(model|adapter|service|[a-z0-9,\"-]{0,6})", 0..40)
     ) {
         let _ = parse(&cells.join(","));
     }
 
     #[test]
-    fn writing_and_reading_gives_the_same_rows(rows in rows()) {
+    fn parsing_formatted_rows_gives_the_same_rows(rows in arbitrary_rows()) {
         prop_assert_eq!(parse_csv(to_csv(&rows).as_bytes()).unwrap(), rows);
     }
 
     #[test]
-    fn a_delta_leads_from_one_table_to_the_other(old in rows(), new in rows()) {
+    fn applying_a_delta_gives_the_newer_table(old in arbitrary_rows(), new in arbitrary_rows()) {
         let old = Table { version: 3, change_id: String::new(), rows: old };
         let new = Table { version: 4, change_id: String::new(), rows: new };
         let delta = TableDelta::between(&old, &new);
-        let mut reached = delta.apply(&old).unwrap();
-        reached.rows.sort_by(|a, b| a.name.cmp(&b.name));
-        prop_assert_eq!(&reached, &new);
+        let mut result = delta.apply(&old).unwrap();
+        result.rows.sort_by(|a, b| a.name.cmp(&b.name));
+        prop_assert_eq!(&result, &new);
         prop_assert_eq!(delta.apply(&new), None);
     }
 }
