--- a/savoryport_core/src/demand.rs
+++ b/savoryport_core/src/demand.rs
@@ -1,8 +1,8 @@
-//! Estimates the demand for each model with two exponential moving averages.
+//! Estimates the demand for each model, in server slots, with two exponential moving averages.
 //!
-//! The fast average follows a burst, so that copies are added soon. The slow one decays slowly after
-//! it, so that copies are only removed after a sustained period of low demand. The estimate is the
-//! larger of the two.
+//! The fast average follows a burst, so that copies are added soon. The slow one decays slowly
+//! after it, so that copies are only removed after a sustained period of low demand. The estimate
+//! is the larger of the two.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/savoryport_core/src/dispatch/limit.rs
+++ b/savoryport_core/src/dispatch/limit.rs
@@ -30,8 +30,8 @@
     /// Adjusts the limit after a finished request.
     ///
     /// `target_ratio` is 1 if the server met its targets, and otherwise the allowed time divided by
-    /// the time that it took. `in_use` tells whether the limit was nearly reached; otherwise it does
-    /// not grow.
+    /// the time that it took. `in_use` tells whether the limit was nearly reached; otherwise it
+    /// does not grow.
     pub fn on_sample(&mut self, target_ratio: f64, in_use: bool) {
         self.samples_since_decrease += 1.0;
         if target_ratio < 1.0 {
--- a/savoryport_core/src/dispatch/mod.rs
+++ b/savoryport_core/src/dispatch/mod.rs
@@ -1,8 +1,9 @@
 //! Queues requests by rank at the entry and routes them to backend servers.
 //!
 //! Requests wait here and not in the engines, so that they can be ordered by rank until a slot is
-//! free. `docs/DESIGN.md` describes the alternatives that were considered, `docs/MEASURES.md` how
-//! they measured.
+//! free; a server has as many slots as its concurrency limit allows requests in progress.
+//! `docs/DESIGN.md` describes the alternatives that were considered, `docs/MEASURES.md` the results
+//! of measuring them.
 
 mod limit;
 mod queue;
@@ -37,8 +38,8 @@
 pub struct DispatchConfig {
     /// The region of this entry.
     pub region: Name,
-    /// The share of the slots that each rank is guaranteed, the most urgent rank first; the shares add
-    /// up to 1.
+    /// The share of the slots that each rank is guaranteed, the most urgent rank first; the shares
+    /// add up to 1.
     pub shares: [f64; 3],
     /// The concurrency limit, in requests, of a server without measurements.
     pub initial_limit: f64,
@@ -308,8 +309,8 @@
         actions
     }
 
-    /// Returns whether the first token would miss the deadline even if the request started now; such
-    /// a request is not worth a slot.
+    /// Returns whether the first token would miss the deadline even if the request started now;
+    /// such a request is not worth a slot.
     fn would_miss_deadline(&self, req: &Request, index: usize, now: Instant) -> bool {
         now + self.shortest_first_token(req, &[index]) > req.deadline
     }
--- a/savoryport_core/src/dispatch/queue.rs
+++ b/savoryport_core/src/dispatch/queue.rs
@@ -52,8 +52,8 @@
         self.by_rank[rank.index()].entry(req.item.clone()).or_default().push_back(req);
     }
 
-    /// Removes the request of a rank with the earliest deadline among those whose item the server has
-    /// loaded and that `may_take` accepts; only the first request of each item is considered.
+    /// Removes the request of a rank with the earliest deadline among those whose item the server
+    /// has loaded and that `may_take` accepts; only the first request of each item is considered.
     pub(super) fn pop(
         &mut self,
         rank: Rank,
--- a/savoryport_core/src/dispatch/server.rs
+++ b/savoryport_core/src/dispatch/server.rs
@@ -177,7 +177,8 @@
         self.in_flight.iter().sum()
     }
 
-    /// Returns whether the table's `max_in_flight` of the item allows another request on this server.
+    /// Returns whether the table's `max_in_flight` of the item allows another request on this
+    /// server.
     pub(super) fn is_below_item_limit(&self, req: &Request) -> bool {
         self.in_flight_by_item.get(&req.item).is_none_or(|count| *count < req.max_in_flight)
     }
@@ -274,8 +275,8 @@
         Duration::from_secs_f64(self.first_token_seconds * (0.5 + utilization))
     }
 
-    /// Estimates the number of requests of other entries from the load report, whose weight decreases
-    /// to zero as it ages.
+    /// Estimates the number of requests of other entries from the load report, whose weight
+    /// decreases to zero as it ages.
     fn load_of_other_entries(&self, now: Instant, own: f64) -> f64 {
         let Some(report) = self.load_report else { return 0.0 };
         let age = now.saturating_duration_since(report.received_at);
@@ -295,8 +296,8 @@
 
     /// Estimates the number of waiting requests of a rank that the server starts each second.
     ///
-    /// A rank below its guaranteed share gets every slot that becomes free, any other rank only what
-    /// it can sustain.
+    /// A rank below its guaranteed share gets every slot that becomes free, any other rank only
+    /// what it can sustain.
     pub(super) fn start_rate(&self, rank: Rank, shares: &[f64; 3]) -> f64 {
         let sustained = self.sustained_start_rate(rank, shares);
         if self.usage.share(rank) < shares[rank.index()] {
@@ -326,8 +327,8 @@
     *average += (sample.as_secs_f64() - *average) * SAMPLE_WEIGHT;
 }
 
-/// Returns 1 if the server met its targets, 0 if it failed, and otherwise the allowed time divided by
-/// the time that it took.
+/// Returns 1 if the server met its targets, 0 if it failed, and otherwise the allowed time divided
+/// by the time that it took.
 ///
 /// Requests should queue at the entry, which orders them by rank; a queue in the engine means that
 /// it was sent too many requests.
--- a/savoryport_core/src/placement.rs
+++ b/savoryport_core/src/placement.rs
@@ -1,8 +1,8 @@
 //! Plans which models are placed on which servers.
 //!
-//! One process at a time computes the plan and stores it in the key-value service. A new plan starts
-//! from the plan in force, so that nothing moves while demand is steady. A model and its adapters
-//! are always placed together.
+//! One process at a time computes the plan and stores it in the key-value service. A new plan
+//! starts from the plan in force, so that nothing moves while demand is steady. A model and its
+//! adapters are always placed together.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -14,7 +14,7 @@
 /// The minimum ratio of a new copy's gain to the loss from the copies that it displaces.
 const SWAP_GAIN_RATIO: f64 = 2.0;
 
-/// The demand in slots below which a model gets no copies beyond its minimum.
+/// The demand, in slots, below which a model gets no copies beyond its minimum.
 const NEGLIGIBLE_DEMAND: f64 = 1e-3;
 
 value! {
@@ -46,7 +46,8 @@
     pub table: &'a Table,
     /// The servers to place models on, without those about to be removed.
     pub servers: &'a [ServerCapacity],
-    /// The demand for each model in slots, including that for its adapters.
+    /// The demand for each model, including that for its adapters, in slots: the mean number of
+    /// requests in progress at once.
     pub demand: &'a HashMap<Name, f64>,
     /// The plan in force.
     pub current: &'a Plan,
@@ -207,8 +208,8 @@
         false
     }
 
-    /// Returns the gain of a further copy for each MiB, from the load that it takes off the existing
-    /// ones.
+    /// Returns the gain of a further copy for each MiB, from the load that it takes off the
+    /// existing ones.
     fn gain(&self, bundle: usize) -> f64 {
         let Bundle { memory_mib, worth, demand, .. } = self.bundles[bundle];
         let copies = self.copies[bundle].len() as f64;
@@ -219,8 +220,8 @@
         (worth * demand / (copies.max(0.5) * (copies + 1.0)) + spread) / f64::from(memory_mib)
     }
 
-    /// Returns the total loss from removing one copy, which is infinite if only the minimum number of
-    /// copies is left.
+    /// Returns the total loss from removing one copy, which is infinite if only the minimum number
+    /// of copies is left.
     fn loss(&self, bundle: usize) -> f64 {
         let Bundle { min_copies, worth, demand, .. } = self.bundles[bundle];
         let copies = self.copies[bundle].len();
@@ -271,7 +272,8 @@
         Some(server)
     }
 
-    /// Returns the server where making room for a bundle costs least, and the bundles to remove there.
+    /// Returns the server where making room for a bundle costs least, and the bundles to remove
+    /// there.
     fn cheapest_victims(&self, bundle: usize, max_loss: f64) -> Option<(usize, Vec<usize>)> {
         let mut best: Option<(f64, usize, Vec<usize>)> = None;
         for index in 0..self.servers.len() {
--- a/savoryport_core/src/replica.rs
+++ b/savoryport_core/src/replica.rs
@@ -56,8 +56,9 @@
         pub plan: u64,
         /// The version of the list of VMs.
         pub vms: u64,
-        /// The watermark: the revision up to which the node has received every change of ledgers and
-        /// marks. Changes that it learned individually, such as its own writes, do not raise it.
+        /// The watermark: the revision up to which the node has received every change of ledgers
+        /// and marks. Changes that it learned individually, such as its own writes, do not raise
+        /// it.
         pub seen: u64,
     }
 
@@ -225,9 +226,9 @@
 
     /// Returns whether an item stays reachable without its copy on a server.
     ///
-    /// This holds if the plan's home for the item is another server whose ledger follows this plan and
-    /// has the item loaded: that copy stays until a later plan names another home and the new home has
-    /// the item loaded.
+    /// This holds if the plan's home for the item is another server whose ledger follows this plan
+    /// and has the item loaded: that copy stays until a later plan names another home and the new
+    /// home has the item loaded.
     pub fn may_unload(&self, server: &str, item: &str) -> bool {
         let Some(home) = self.plan.home_of(item, &self.table) else {
             return self.table.get(item).is_none();
--- a/savoryport_core/src/table/mod.rs
+++ b/savoryport_core/src/table/mod.rs
@@ -46,7 +46,8 @@
         pub weight: u32,
         /// The rank of requests for the item.
         pub rank: Rank,
-        /// The maximum number of requests for the item that may be in progress on one backend server.
+        /// The maximum number of requests for the item that may be in progress on one backend
+        /// server.
         pub max_in_flight: u32,
         /// The target time to the first token, in milliseconds.
         pub first_token_ms: u32,
@@ -63,8 +64,8 @@
     pub struct Table {
         /// The version, which increases with every accepted change and never decreases.
         pub version: u64,
-        /// Identifies the change that produced this version. If the response to a write is lost, reading
-        /// the id back shows whether the write took effect.
+        /// Identifies the change that produced this version. If the response to a write is lost,
+        /// reading the id back shows whether the write took effect.
         pub change_id: String,
         /// The rows, in the order of the operators' file.
         pub rows: Vec<Row>,
--- a/savoryport_core/src/table/parse.rs
+++ b/savoryport_core/src/table/parse.rs
@@ -29,8 +29,8 @@
 ///
 /// # Errors
 ///
-/// Returns all invalid cells with their line, column and value, or the reason why the file as a whole
-/// cannot be read.
+/// Returns all invalid cells with their line, column and value, or the reason why the file as a
+/// whole cannot be read.
 pub fn parse_csv(buf: &[u8]) -> Result<Vec<Row>, TableError> {
     let buf = buf.strip_prefix(b"\xef\xbb\xbf").unwrap_or(buf);
     let mut reader = csv::ReaderBuilder::new().trim(csv::Trim::All).from_reader(buf);
--- a/savoryport_core/tests/dispatch.rs
+++ b/savoryport_core/tests/dispatch.rs
@@ -19,7 +19,8 @@
 }
 
 impl Entry {
-    /// Creates an entry for servers with the given number of slots and the models `a` and `b` loaded.
+    /// Creates an entry for servers with the given number of slots and the models `a` and `b`
+    /// loaded.
     fn new(servers: &[&str], slots: f64) -> Self {
         let mut dispatch = Dispatch::new(DispatchConfig {
             region: "r".into(),
@@ -155,7 +156,8 @@
         let mut served = [0_u32; 3];
         for round in 0..3_000 {
             let mut actions = Vec::new();
-            // The flooding rank always submits more than fits; the others submit one request a round.
+            // The flooding rank always submits more than fits; the others submit one request a
+            // round.
             for rank in Rank::ALL {
                 for _ in 0..if rank == flooding { 5 } else { 1 } {
                     actions.extend(entry.submit(rank));
@@ -221,7 +223,8 @@
         let req = Request { max_in_flight: 2, ..entry.request(item, Rank::Normal) };
         started_servers(&entry.dispatch.submit(req, entry.now)).len()
     };
-    // A new request does not overtake a waiting one on arrival; the next tick starts what may start.
+    // A new request does not overtake a waiting one on arrival; the next tick starts what may
+    // start.
     assert_eq!((submit("a"), submit("a"), submit("a"), submit("b")), (1, 1, 0, 0));
     assert_eq!(started_servers(&entry.dispatch.tick(entry.now)), ["s1"]);
     assert_eq!(started_servers(&entry.finish("s1", Rank::Normal, SECOND / 10)), ["s1"]);
--- a/savoryport_core/tests/placement.rs
+++ b/savoryport_core/tests/placement.rs
@@ -112,8 +112,8 @@
 }
 
 proptest! {
-    /// For any changes of demand and fleet, a plan stays within each server's memory, places at most
-    /// one copy of a model on a server, and gives models only homes that hold a copy.
+    /// For any changes of demand and fleet, a plan stays within each server's memory, places at
+    /// most one copy of a model on a server, and gives models only homes that hold a copy.
     #[test]
     fn plans_stay_within_memory(
         sizes in prop::collection::vec(5..60_u32, 1..20),
--- a/savoryport_core/tests/table.rs
+++ b/savoryport_core/tests/table.rs
@@ -135,13 +135,13 @@
 proptest! {
     /// The parser returns rows or an error for any bytes.
     #[test]
-    fn parsing_arbitrary_bytes_does_not_panic(buf in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn any_bytes_are_read_or_refused(buf in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = parse_csv(&buf);
     }
 
     /// Cells that resemble those of real rows reach the checks of single columns.
     #[test]
-    fn parsing_arbitrary_cells_does_not_panic(
+    fn any_cells_are_read_or_refused(
         cells in prop::collection::vec("(model|adapter|service|[a-z0-9,\"-]{0,6})", 0..40)
     ) {
         let _ = parse(&cells.join(","));
