--- a/savoryport/src/control/reader.rs
+++ b/savoryport/src/control/reader.rs
@@ -10,8 +10,8 @@
 use savoryport_core::Name;
 use savoryport_core::fleet::Vm;
 use savoryport_core::ledger::ServerRecord;
-use savoryport_core::relay;
 use savoryport_core::replica::{Mark, Residency, Update};
+use savoryport_core::replication_tree;
 use savoryport_platform::kv::{Entry, Event, KvError, PutAnswer, Revision};
 use savoryport_platform::vms;
 
@@ -70,7 +70,7 @@
     let mut domain: Vec<&Vm> = replica.vms.entries().filter(is_near).collect();
     domain.sort_by(|a, b| a.name.cmp(&b.name));
     let place = domain.iter().take_while(|vm| vm.name < settings.vm).count();
-    let candidates = relay::upstreams(place).into_iter().map(|place| domain[place]);
+    let candidates = replication_tree::upstreams(place).into_iter().map(|place| domain[place]);
     candidates.filter_map(|vm| vm.control_address.as_ref()).map(ToString::to_string).collect()
 }
 
@@ -129,7 +129,7 @@
         Err(_) => return ask_peers(cx).await,
     };
     let update = update_of(entries.into_iter().map(Event::Put));
-    cx.hub.add(cx.hub.replica().complete(Update { seen: revision, ..update }));
+    cx.hub.add(cx.hub.replica().add_removed_marks(Update { seen: revision, ..update }));
     log::info!(revision; "reading the platform");
     let beside = tokio::spawn(read_beside(cx.clone()));
     let mut look_at = cx.clock.now() + UPSTREAM_PERIOD;
@@ -224,7 +224,7 @@
         update.plan = serde_json::from_slice(value).ok().or(update.plan.take());
     } else if let Some(server) = key.strip_prefix(keys::SERVERS) {
         if let Ok(record) = serde_json::from_slice::<ServerRecord>(value) {
-            update.residency.insert(server.into(), Residency::of(&record, revision));
+            update.residency.insert(server.into(), Residency::from_record(&record, revision));
         }
     } else if let Some(name) = key.strip_prefix(keys::MARKS) {
         let text = String::from_utf8_lossy(value);
--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -10,11 +10,11 @@
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Method, Response, StatusCode};
 use savoryport_core::Name;
-use savoryport_core::dispatch::{End, RefusalCause, Request, Sample};
+use savoryport_core::dispatch::{RefusalCause, Request, RequestEnd, Sample};
 use savoryport_core::hash::prefix_hash;
 use savoryport_core::rank::Rank;
 use savoryport_core::request_lifecycle::{Outcome, RequestEvent, RequestLifecycle};
-use savoryport_core::table::{Kind, Row};
+use savoryport_core::table::{Row, RowKind};
 use savoryport_platform::connection::{Connection, SendError};
 use savoryport_platform::wire::{CompletionRequest, DRAINING_HEADER};
 use smallvec::SmallVec;
@@ -112,7 +112,7 @@
             return Err(bad("prompt or messages: must not be empty".to_owned()));
         }
         let table = cx.fleet.borrow().table.clone();
-        let row = table.get(&completion.model).filter(|row| row.kind != Kind::Service);
+        let row = table.get(&completion.model).filter(|row| row.kind != RowKind::Service);
         let Some(row) = row.cloned() else {
             let message = format!("no model or adapter {:?}", completion.model);
             return Err(Refusal::bad(StatusCode::NOT_FOUND, "unknown-model", message));
@@ -148,7 +148,7 @@
                 }
                 Err(Failure::Rejected(refusal)) => return Err(refusal),
                 Err(Failure::Engine) => {
-                    in_flight.sample.end = End::Failed;
+                    in_flight.sample.end = RequestEnd::Failed;
                     self.may_go_on(&in_flight).await?;
                 }
             }
@@ -162,12 +162,12 @@
             rank: self.rank,
             deadline: self.deadline,
             prompt_tokens: (self.completion.text().len() / CHARS_PER_TOKEN) as u32,
-            prefix: prefix_hash(&self.completion.model, &self.completion.text()),
-            avoid: self.avoid.clone(),
+            prefix_hash: prefix_hash(&self.completion.model, &self.completion.text()),
+            failed_servers: self.avoid.clone(),
             max_in_flight: self.row.max_in_flight,
         };
         let between_tokens = Duration::from_millis(self.row.between_tokens_ms.into());
-        let sample = Sample::under_way(req.prompt_tokens, between_tokens);
+        let sample = Sample::in_progress(req.prompt_tokens, between_tokens);
         match self.cx.dispatcher.submit(req, sample).await {
             Ok(in_flight) => {
                 self.fire(RequestEvent::Start);
@@ -321,7 +321,7 @@
                 }
                 Err(err) => {
                     log::debug!(server = &*in_flight.slot.server, err:%; "stream failed");
-                    in_flight.sample.end = End::Failed;
+                    in_flight.sample.end = RequestEnd::Failed;
                     self.fire(RequestEvent::Broken);
                     return match self.may_go_on(&in_flight).await {
                         Ok(()) => Err(()),
@@ -349,7 +349,7 @@
                     .header(OUTCOME_HEADER, Outcome::Done.name());
                 return Ok(answer.body(whole(body.to_bytes())).expect("plain headers"));
             }
-            in_flight.sample.end = End::Failed;
+            in_flight.sample.end = RequestEnd::Failed;
             self.fire(RequestEvent::Broken);
             self.may_go_on(&in_flight).await?;
             drop(in_flight);
@@ -387,7 +387,7 @@
         let now = self.cx.clock.now();
         let sample = &mut in_flight.sample;
         sample.total = now.saturating_duration_since(handed_at);
-        sample.end = End::Whole;
+        sample.end = RequestEnd::Completed;
         if let Some(first) = sample.first_token {
             let gaps = self.tokens_sent.saturating_sub(self.completion.resume_from + 1).max(1);
             sample.between_tokens = Some(sample.total.saturating_sub(first) / gaps);
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -10,10 +10,10 @@
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Response, StatusCode};
 use savoryport_core::Name;
-use savoryport_core::dispatch::{End, Request, Sample};
+use savoryport_core::dispatch::{Request, RequestEnd, Sample};
 use savoryport_core::hash::prefix_hash;
 use savoryport_core::request_lifecycle::{Outcome, RequestEvent, RequestLifecycle};
-use savoryport_core::table::{Kind, Row};
+use savoryport_core::table::{Row, RowKind};
 use savoryport_core::ticket::{Ticket, TicketAdmission};
 use savoryport_platform::wire::{DRAINING_HEADER, REQUEST_ID_HEADER};
 use smallvec::SmallVec;
@@ -108,7 +108,7 @@
 fn find_row(cx: &Context, req: &CallerRequest) -> Result<Row, Refusal> {
     let name = req.path.split('/').nth(2).unwrap_or_default();
     let table = cx.fleet.borrow().table.clone();
-    let row = table.get(name).filter(|row| row.kind == Kind::Service);
+    let row = table.get(name).filter(|row| row.kind == RowKind::Service);
     row.cloned().ok_or_else(|| {
         let message = format!("no service {name:?}");
         Refusal::bad(StatusCode::NOT_FOUND, "unknown-service", message)
@@ -209,13 +209,13 @@
             let handed_at = self.cx.clock.now();
             match self.call_once(&in_flight).await {
                 Some(answer) => {
-                    in_flight.sample.end = End::Whole;
+                    in_flight.sample.end = RequestEnd::Completed;
                     in_flight.sample.total = self.cx.clock.now() - handed_at;
                     self.note_end(Outcome::Done);
                     return Ok(answer);
                 }
                 None => {
-                    in_flight.sample.end = End::Failed;
+                    in_flight.sample.end = RequestEnd::Failed;
                     self.may_go_on(&in_flight).await?;
                 }
             }
@@ -230,11 +230,11 @@
             rank: self.row.rank,
             deadline: self.arrived + target,
             prompt_tokens: 0,
-            prefix: prefix_hash(&self.row.name, &self.request_id),
-            avoid: self.avoid.clone(),
+            prefix_hash: prefix_hash(&self.row.name, &self.request_id),
+            failed_servers: self.avoid.clone(),
             max_in_flight: self.row.max_in_flight,
         };
-        let targets = Sample::under_way(0, Duration::MAX);
+        let targets = Sample::in_progress(0, Duration::MAX);
         match self.cx.dispatcher.submit(req, targets).await {
             Ok(in_flight) => {
                 self.fire(RequestEvent::Start);
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -11,12 +11,14 @@
 use savoryport::rpc::{ControlClient, PullRequest};
 use savoryport::settings::Settings;
 use savoryport_core::Name;
-use savoryport_core::dispatch::{Dispatch, DispatchConfig, End, Request, Sample, ServerInfo};
+use savoryport_core::dispatch::{
+    Dispatch, DispatchConfig, Request, RequestEnd, Sample, ServerInfo,
+};
 use savoryport_core::fleet::{Vm, VmList, VmRole};
-use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, compute_plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{MemoryUse, Replica, Residency, Update};
-use savoryport_core::table::{Kind, Row, Table};
+use savoryport_core::table::{Row, RowKind, Table};
 use savoryport_platform::kv::{EtcdClient, KeyValue, PutAnswer};
 use savoryport_standin::engine::EngineConfig;
 use savoryport_standin::fleet::LocalFleet;
@@ -118,7 +120,7 @@
 
 fn row(name: String, memory_mib: u32) -> Row {
     Row {
-        kind: Kind::Model,
+        kind: RowKind::Model,
         name: name.into(),
         base: None,
         memory_mib,
@@ -250,8 +252,8 @@
 
 fn time_plans(servers: usize, models: usize) -> (f64, f64) {
     let table = table(models, 1, 60_000);
-    let fleet: Vec<PlannedServer> = (0..servers)
-        .map(|at| PlannedServer {
+    let fleet: Vec<ServerCapacity> = (0..servers)
+        .map(|at| ServerCapacity {
             name: format!("engine-{at:04}").into(),
             failure_domain: format!("domain-{}", at % 7).into(),
             capacity_mib: 640_000,
@@ -263,7 +265,7 @@
         let started = Instant::now();
         let input =
             PlacementInput { table: &table, servers: &fleet, demand, current, move_budget: 8 };
-        let made = plan(&input);
+        let made = compute_plan(&input);
         (made, started.elapsed().as_secs_f64() * 1e3)
     };
     let (current, first) = make(&Plan::default(), &demand);
@@ -304,8 +306,8 @@
             rank: Rank::ALL[(id % 3) as usize],
             deadline: now + Duration::from_millis(1_800),
             prompt_tokens: 300,
-            prefix: id % 997,
-            avoid: SmallVec::new(),
+            prefix_hash: id % 997,
+            failed_servers: SmallVec::new(),
             max_in_flight: 64,
         };
         let began = Instant::now();
@@ -318,8 +320,8 @@
         }
         if ends.len() > 400 {
             let (server, item, began) = ends.swap_remove(0);
-            let mut sample = Sample::under_way(300, Duration::from_millis(70));
-            sample.end = End::Whole;
+            let mut sample = Sample::in_progress(300, Duration::from_millis(70));
+            sample.end = RequestEnd::Completed;
             sample.total = now - began;
             dispatch.finish(&server, &item, Rank::Normal, &sample, now);
         }
--- a/savoryport_core/src/lib.rs
+++ b/savoryport_core/src/lib.rs
@@ -1,16 +1,17 @@
-//! Every decision of savoryport, and nothing else.
+//! The decision logic of savoryport, free of I/O.
 //!
-//! The crate has no sockets, threads, clock reads or global randomness: the time and a seeded
-//! generator are passed in, events go in and actions come out. A foreign bench can therefore drive
-//! it without a daemon. The reasons for each mechanism are in `docs/DESIGN.md`.
+//! The crate uses no sockets, threads, clock reads or global randomness: callers pass in the time
+//! and a seeded random generator, report events and carry out the returned actions. A benchmark
+//! can therefore drive it without running a daemon. `docs/DESIGN.md` explains the reasons for each
+//! mechanism.
 
 #[macro_use]
 mod macros;
 
-pub mod address;
 pub mod clock;
 pub mod demand;
 pub mod dispatch;
+pub mod entry_selection;
 pub mod fleet;
 pub mod hash;
 pub mod lease;
@@ -19,8 +20,8 @@
 pub mod node;
 pub mod placement;
 pub mod rank;
-pub mod relay;
 pub mod replica;
+pub mod replication_tree;
 pub mod request_lifecycle;
 pub mod state_chart;
 pub mod table;
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -14,10 +14,10 @@
 use savoryport_core::ledger::{
     HolderId, Order, ReconcileInput, Reconciler, ServerRecord, Step, WriteResult,
 };
-use savoryport_core::placement::{PlacementInput, Plan, PlannedServer, plan};
+use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, compute_plan};
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{Replica, Residency, Update};
-use savoryport_core::table::{Kind, Row, Table};
+use savoryport_core::table::{Row, RowKind, Table};
 
 use fake_engine::FakeEngine;
 
@@ -85,7 +85,7 @@
 impl World {
     fn new(seed: u64) -> Self {
         let row = |(name, memory_mib): &(&str, u32)| Row {
-            kind: Kind::Model,
+            kind: RowKind::Model,
             name: (*name).into(),
             base: None,
             memory_mib: *memory_mib,
@@ -144,7 +144,7 @@
     /// Shows one server's holder some of what stands elsewhere, and perhaps the plan in force.
     fn see(&mut self, at: usize) {
         let other = &self.servers[self.rng.random_range(0..SERVERS)];
-        let residency = Residency::of(&other.record, other.revision);
+        let residency = Residency::from_record(&other.record, other.revision);
         let plan = self.rng.random_bool(0.5).then(|| self.plan.clone());
         let update = Update {
             table: Some(self.table.clone()),
@@ -158,9 +158,9 @@
     /// Moves models about: any server may be left out, as one that drains.
     fn change_plan(&mut self) {
         let left_out = self.rng.random_range(0..SERVERS * 2);
-        let servers: Vec<PlannedServer> = (0..SERVERS)
+        let servers: Vec<ServerCapacity> = (0..SERVERS)
             .filter(|at| *at != left_out)
-            .map(|at| PlannedServer {
+            .map(|at| ServerCapacity {
                 name: self.servers[at].name.clone(),
                 failure_domain: format!("d{at}").into(),
                 capacity_mib: CAPACITY_MIB,
@@ -171,7 +171,7 @@
         let (table, current) = (&self.table, &self.plan);
         let input =
             PlacementInput { table, servers: &servers, demand: &demand, current, move_budget: 2 };
-        self.plan = plan(&input);
+        self.plan = compute_plan(&input);
     }
 
     fn finish_loads(&mut self) {
