--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -262,7 +262,11 @@
         for model in servers.flat_map(|server| &server.models) {
             *copies.entry(model.name.clone()).or_default() += 1;
         }
-        NeighbourDomain { demand: cx.peer_reports.demand_of(&other, cx.now()), domain: other, copies }
+        NeighbourDomain {
+            demand: cx.peer_reports.demand_of(&other, cx.now()),
+            domain: other,
+            copies,
+        }
     })
     .collect()
 }
