--- a/savoryport_core/src/ledger/mod.rs
+++ b/savoryport_core/src/ledger/mod.rs
@@ -1,8 +1,9 @@
-//! The memory ledger: what is, may be or may yet come to be in a server's memory.
+//! The memory ledger: everything that is in a server's memory, or may still be loaded into it.
 //!
-//! The record of a server in the key-value service is the only truth about its memory. Nothing is
-//! ordered before its reservation stands there, and nothing is released while an order that could
-//! still load it may arrive. `docs/DESIGN.md` gives the failures behind each rule.
+//! The server's record in the key-value service is authoritative for its memory. An order is sent
+//! only after its reservation has been written there, and a reservation is released only once no
+//! order that could still load its item can arrive. `docs/DESIGN.md` gives the failures behind each
+//! rule.
 
 mod reconciler;
 mod record;
--- a/savoryport_core/src/ledger/reconciler.rs
+++ b/savoryport_core/src/ledger/reconciler.rs
@@ -1,7 +1,7 @@
-//! Drives one server's ledger and orders, one step at a time.
+//! Brings one server's memory in line with the plan, one step at a time.
 //!
-//! The steward never has more than one step under way. Its owner carries a step out and reports
-//! what came of it, or that nothing came; the steward then decides the next one.
+//! The reconciler never has more than one step in progress. Its caller carries out a step and
+//! reports the result, or that there was none; the reconciler then decides on the next step.
 
 use std::collections::BTreeMap;
 
@@ -18,30 +18,31 @@
     pub struct WantedItem {
         /// Its name.
         pub name: Name,
-        /// The model that an adapter belongs to.
+        /// The model that the adapter belongs to, or `None` for a model.
         pub base: Option<Name>,
-        /// Its memory in MiB.
+        /// The memory that it needs, in MiB.
         pub memory_mib: u32,
     }
 }
 
-/// What the steward works towards.
+/// What the plan wants on the server, and what the reconciler is currently permitted to do.
 pub struct ReconcileInput<'a> {
     /// The version of the plan.
     pub plan_version: u64,
-    /// What the plan wants on the server, a base before its adapters.
+    /// The models and adapters that the plan wants on the server, each model before its adapters.
     pub items: &'a [WantedItem],
-    /// Tells whether an item stays reachable without the copy on this server.
+    /// Returns whether an item stays reachable without the copy on this server.
     pub may_unload: &'a dyn Fn(&str) -> bool,
-    /// Tells whether a process is known to have ended.
+    /// Returns whether a control process is known to have ended.
     pub is_gone: &'a dyn Fn(&HolderId) -> bool,
-    /// Whether the lease allows to act; without it the steward only settles what it left behind.
+    /// Whether this process may act under its lease. If not, the reconciler only closes the stray
+    /// orders that it left behind.
     pub may_act: bool,
     /// Whether the weight store has room for another load.
     pub may_load: bool,
 }
 
-/// What the steward's owner does next.
+/// What the caller of the reconciler does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Read the server's record.
@@ -50,169 +51,174 @@
     Write {
         /// The new record.
         record: ServerRecord,
-        /// The revision that it was made from.
+        /// The revision of the record that the new one is based on.
         revision: u64,
     },
-    /// Send an order, again if need be.
+    /// Send an order, or send it again.
     Send(Order),
     /// Ask the engine for its state.
     Query,
-    /// Nothing is to be done.
+    /// There is nothing to do.
     Idle,
 }
 
-/// What came of a write.
+/// The result of a conditional write of the record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteResult {
-    /// The record stands, at this revision.
+    /// The record was written, at this revision.
     Written(u64),
-    /// Somebody else wrote first.
+    /// Another process wrote the record first.
     Conflict,
-    /// No answer came: the write may have taken effect, now or later.
+    /// No response arrived: the write may have taken effect, or may still do so.
     Unknown,
 }
 
-/// What the engine answered to an order.
+/// The engine's response to an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderResponse {
-    /// The order was taken; the state follows it.
+    /// The engine accepted the order; its state includes the effect.
     Accepted(EngineState),
-    /// The engine refused the order, for its fencing number or for lack of memory.
+    /// The engine refused the order because of its fencing number or for lack of memory.
     Refused(EngineState),
 }
 
-/// Drives one server.
+/// Reconciles the memory of one server with the plan.
 #[derive(Debug, Clone)]
 pub struct Reconciler {
-    me: HolderId,
-    cached: Option<(ServerRecord, u64)>,
-    engine: Option<EngineState>,
-    /// Orders sent by this process, by fencing number, with the number of unanswered sendings.
-    sent: BTreeMap<u64, u32>,
-    refused: Option<u64>,
-    /// The revision from which a write without an answer was made; while it stands, that write may
-    /// still take effect.
-    doubtful_base: Option<u64>,
+    own_id: HolderId,
+    cached_record: Option<(ServerRecord, u64)>,
+    engine_state: Option<EngineState>,
+    /// The number of unanswered transmissions of each order that this process sent, by fencing
+    /// number.
+    sent_orders: BTreeMap<u64, u32>,
+    refused_fence: Option<u64>,
+    /// The revision that a write without a response was based on. While the record is still at
+    /// this revision, that write may take effect.
+    unknown_write_base: Option<u64>,
 }
 
 impl Reconciler {
-    /// Starts without any knowledge of the server.
-    pub fn new(me: HolderId) -> Self {
+    /// Creates a reconciler that knows nothing of the server yet.
+    pub fn new(own_id: HolderId) -> Self {
         Self {
-            me,
-            cached: None,
-            engine: None,
-            sent: BTreeMap::new(),
-            refused: None,
-            doubtful_base: None,
+            own_id,
+            cached_record: None,
+            engine_state: None,
+            sent_orders: BTreeMap::new(),
+            refused_fence: None,
+            unknown_write_base: None,
         }
     }
 
     /// Returns the record as last read or written.
     pub fn record(&self) -> Option<&ServerRecord> {
-        self.cached.as_ref().map(|(record, _)| record)
+        self.cached_record.as_ref().map(|(record, _)| record)
     }
 
-    /// Drops what was read, so that the next step reads again.
+    /// Drops the cached record and engine state, so that the next step reads the record again.
     pub fn invalidate(&mut self) {
-        self.cached = None;
-        self.engine = None;
+        self.cached_record = None;
+        self.engine_state = None;
     }
 
-    /// Drops the engine's state, so that the next step asks again.
+    /// Drops the cached engine state, so that the next step queries the engine again.
     pub fn invalidate_engine_state(&mut self) {
-        self.engine = None;
+        self.engine_state = None;
     }
 
-    /// Returns whether an order is under way.
+    /// Returns whether an order is in progress.
     pub fn has_pending_order(&self) -> bool {
         self.record().is_some_and(|record| record.pending.is_some())
     }
 
-    /// Takes the record as read at a revision.
+    /// Handles a read of the record at a revision.
     pub fn on_read(&mut self, record: ServerRecord, revision: u64) {
-        self.cached = Some((record, revision));
-        // What the engine said before says nothing about what the record has meanwhile closed.
-        self.engine = None;
+        self.cached_record = Some((record, revision));
+        // An engine state from before this read does not cover stray orders that the record has
+        // closed since.
+        self.engine_state = None;
     }
 
-    /// Takes the answer to a write.
-    pub fn on_write(&mut self, record: ServerRecord, answer: WriteResult) {
-        let base = self.cached.take().map(|(_, revision)| revision);
-        match answer {
-            WriteResult::Written(revision) => self.cached = Some((record, revision)),
+    /// Handles the result of a write.
+    pub fn on_write(&mut self, record: ServerRecord, result: WriteResult) {
+        let base = self.cached_record.take().map(|(_, revision)| revision);
+        match result {
+            WriteResult::Written(revision) => self.cached_record = Some((record, revision)),
             WriteResult::Conflict => {}
-            WriteResult::Unknown => self.doubtful_base = base,
+            WriteResult::Unknown => self.unknown_write_base = base,
         }
     }
 
-    /// Notes that an order leaves now.
+    /// Records that an order is being sent.
     pub fn on_order_sent(&mut self, order: &Order) {
-        *self.sent.entry(order.fence).or_default() += 1;
+        *self.sent_orders.entry(order.fence).or_default() += 1;
     }
 
-    /// Takes the answer to an order; without an answer nothing is reported, and it counts as stray.
-    pub fn on_order_response(&mut self, order: &Order, answer: OrderResponse) {
-        if let Some(unanswered) = self.sent.get_mut(&order.fence) {
+    /// Handles the response to an order. Without a response this is not called, and that
+    /// transmission is considered stray.
+    pub fn on_order_response(&mut self, order: &Order, response: OrderResponse) {
+        if let Some(unanswered) = self.sent_orders.get_mut(&order.fence) {
             *unanswered = unanswered.saturating_sub(1);
         }
-        match answer {
-            OrderResponse::Accepted(state) => self.engine = Some(state),
+        match response {
+            OrderResponse::Accepted(state) => self.engine_state = Some(state),
             OrderResponse::Refused(state) => {
-                self.refused = Some(order.fence);
-                self.engine = Some(state);
+                self.refused_fence = Some(order.fence);
+                self.engine_state = Some(state);
             }
         }
     }
 
-    /// Takes the engine's state, asked for after the last write.
+    /// Handles an engine state that was requested after the last write of the record.
     pub fn on_engine_state(&mut self, state: EngineState) {
-        self.engine = Some(state);
+        self.engine_state = Some(state);
     }
 
-    /// Decides the next step.
-    pub fn next_step(&mut self, wishes: &ReconcileInput<'_>) -> Step {
-        let Some((record, revision)) = self.cached.clone() else { return Step::Read };
-        if self.doubtful_base == Some(revision) && wishes.may_act {
-            // Writing the record as it stands keeps the doubtful write from taking effect later,
-            // when it would no longer tell of what was sent meanwhile.
+    /// Decides on the next step.
+    pub fn next_step(&mut self, input: &ReconcileInput<'_>) -> Step {
+        let Some((record, revision)) = self.cached_record.clone() else { return Step::Read };
+        if self.unknown_write_base == Some(revision) && input.may_act {
+            // Writing the record unchanged moves its revision on, so that the write without a
+            // response cannot take effect later: it would not contain what was sent since.
             return Step::Write { record, revision };
         }
-        if let Some(record) = self.give_up_own_strays(&record) {
+        if let Some(record) = self.close_own_strays(&record) {
             return Step::Write { record, revision };
         }
-        if !wishes.may_act {
+        if !input.may_act {
             return Step::Idle;
         }
-        if record.holder.as_ref() != Some(&self.me) {
-            return Step::Write { record: take_over(record, &self.me), revision };
+        if record.holder.as_ref() != Some(&self.own_id) {
+            return Step::Write { record: take_over(record, &self.own_id), revision };
         }
-        let Some(engine) = self.engine.take() else { return Step::Query };
-        let settled = self.settle(&record, &engine, wishes);
+        let Some(engine) = self.engine_state.take() else { return Step::Query };
+        let settled = self.apply_engine_state(&record, &engine, input);
         if settled != record {
             return Step::Write { record: settled, revision };
         }
         if let Some(order) = &record.pending {
             return Step::Send(order.clone());
         }
-        match next_order(&record, &engine, &self.me, wishes) {
+        match record_next_order(&record, &engine, &self.own_id, input) {
             Some(record) => Step::Write { record, revision },
             None => Step::Idle,
         }
     }
 
-    /// Marks what this process left behind when another took over: it will not send it any more.
-    fn give_up_own_strays(&self, record: &ServerRecord) -> Option<ServerRecord> {
+    /// Closes the stray orders that this process left behind when another took over, since it will
+    /// not send them again. Those without an unanswered transmission are removed.
+    fn close_own_strays(&self, record: &ServerRecord) -> Option<ServerRecord> {
         let is_mine =
-            |stray: &StrayOrder| stray.issuer == self.me && stray.reach == StrayReach::Open;
+            |stray: &StrayOrder| stray.issuer == self.own_id && stray.reach == StrayReach::Open;
         let any = record.reservations.iter().flat_map(|r| &r.strays).any(is_mine);
         if !any {
             return None;
         }
         let mut record = record.clone();
         for reservation in &mut record.reservations {
-            let is_void = |stray: &StrayOrder| is_mine(stray) && !self.is_unanswered(stray.fence);
-            reservation.strays.retain(|stray| !is_void(stray));
+            let is_answered =
+                |stray: &StrayOrder| is_mine(stray) && !self.is_unanswered(stray.fence);
+            reservation.strays.retain(|stray| !is_answered(stray));
             for stray in reservation.strays.iter_mut().filter(|stray| is_mine(stray)) {
                 stray.reach = StrayReach::Closed;
             }
@@ -221,37 +227,37 @@
     }
 
     fn is_unanswered(&self, fence: u64) -> bool {
-        self.sent.get(&fence).is_some_and(|unanswered| *unanswered > 0)
+        self.sent_orders.get(&fence).is_some_and(|unanswered| *unanswered > 0)
     }
 
-    /// Brings the record in line with what the engine says.
-    fn settle(
+    /// Returns the record updated with the engine's state.
+    fn apply_engine_state(
         &mut self,
         record: &ServerRecord,
         engine: &EngineState,
-        wishes: &ReconcileInput<'_>,
+        input: &ReconcileInput<'_>,
     ) -> ServerRecord {
         let mut record = record.clone();
-        bind_closed_strays(&mut record, engine.incarnation);
-        close_strays_of_the_gone(&mut record, wishes.is_gone);
+        bound_closed_strays(&mut record, engine.incarnation);
+        close_strays_of_ended_issuers(&mut record, input.is_gone);
         if record.engine_incarnation != engine.incarnation {
-            restart(&mut record, engine.incarnation);
+            apply_engine_restart(&mut record, engine.incarnation);
         }
-        self.settle_pending(&mut record, engine);
-        raise_to_report(&mut record, engine);
+        self.resolve_pending_order(&mut record, engine);
+        apply_reported_items(&mut record, engine);
         drop_fenced_strays(&mut record, engine);
-        release_settled(&mut record);
-        record.plan_version = record.plan_version.max(wishes.plan_version);
+        release_unneeded(&mut record);
+        record.plan_version = record.plan_version.max(input.plan_version);
         record
     }
 
-    fn settle_pending(&mut self, record: &mut ServerRecord, engine: &EngineState) {
+    fn resolve_pending_order(&mut self, record: &mut ServerRecord, engine: &EngineState) {
         let Some(order) = record.pending.clone() else { return };
-        let was_refused = self.refused.take() == Some(order.fence);
+        let was_refused = self.refused_fence.take() == Some(order.fence);
         let state = engine.get(&order.item).map(|item| item.state);
         let is_settled = match order.kind {
             OrderKind::Load => state == Some(ItemState::Loaded),
-            OrderKind::Unload => state.is_none() && self.sent.contains_key(&order.fence),
+            OrderKind::Unload => state.is_none() && self.sent_orders.contains_key(&order.fence),
         };
         if !is_settled && !was_refused {
             return;
@@ -271,9 +277,10 @@
     }
 }
 
-/// Writes a new holder into the record; what the former one recorded may still arrive.
-fn take_over(mut record: ServerRecord, me: &HolderId) -> ServerRecord {
-    record.holder = Some(me.clone());
+/// Makes a process the holder of the record. A load order of the former holder may still arrive and
+/// becomes a stray.
+fn take_over(mut record: ServerRecord, own_id: &HolderId) -> ServerRecord {
+    record.holder = Some(own_id.clone());
     record.fence += 1;
     let Some(order) = record.pending.take() else { return record };
     let Some(reservation) = record.get_mut(&order.item) else { return record };
@@ -288,7 +295,7 @@
     record
 }
 
-fn close_strays_of_the_gone(record: &mut ServerRecord, is_gone: &dyn Fn(&HolderId) -> bool) {
+fn close_strays_of_ended_issuers(record: &mut ServerRecord, is_gone: &dyn Fn(&HolderId) -> bool) {
     for stray in record.reservations.iter_mut().flat_map(|r| &mut r.strays) {
         if stray.reach == StrayReach::Open && is_gone(&stray.issuer) {
             stray.reach = StrayReach::Closed;
@@ -296,9 +303,11 @@
     }
 }
 
-/// Notes which engine process runs after a stray was closed. The state at hand was asked for after
-/// the last write of the record, so whatever stood closed there was closed before.
-fn bind_closed_strays(record: &mut ServerRecord, incarnation: u64) {
+/// Limits closed stray orders to the engine process that is running now and earlier ones.
+///
+/// The engine's state was requested after the last write of the record, so the orders that are closed
+/// in the record were closed before that process reported.
+fn bound_closed_strays(record: &mut ServerRecord, incarnation: u64) {
     for stray in record.reservations.iter_mut().flat_map(|r| &mut r.strays) {
         if stray.reach == StrayReach::Closed {
             stray.reach = StrayReach::UpTo(incarnation);
@@ -306,14 +315,14 @@
     }
 }
 
-/// Notes that the engine is another process: its memory is empty, and bytes under way to the former
-/// one cannot reach it.
-fn restart(record: &mut ServerRecord, incarnation: u64) {
+/// Updates the record for another engine process: its memory is empty, and bytes in transit to an
+/// earlier process cannot reach it.
+fn apply_engine_restart(record: &mut ServerRecord, incarnation: u64) {
     record.engine_incarnation = incarnation;
     for reservation in &mut record.reservations {
-        let is_past =
+        let is_unreachable =
             |reach: &StrayReach| matches!(reach, StrayReach::UpTo(seen) if *seen != incarnation);
-        reservation.strays.retain(|stray| !is_past(&stray.reach));
+        reservation.strays.retain(|stray| !is_unreachable(&stray.reach));
         reservation.state = match reservation.state {
             ReservationState::Retained => ReservationState::Retained,
             _ => ReservationState::Reserved,
@@ -321,8 +330,8 @@
     }
 }
 
-/// A report that contradicts the record raises it, and never lowers it on its own.
-fn raise_to_report(record: &mut ServerRecord, engine: &EngineState) {
+/// Updates the record with the items that the engine reports. A report alone never releases memory.
+fn apply_reported_items(record: &mut ServerRecord, engine: &EngineState) {
     for item in &engine.items {
         let found = match item.state {
             ItemState::Loaded => ReservationState::Loaded,
@@ -344,14 +353,15 @@
         }
     }
     for reservation in &mut record.reservations {
-        let is_lost = engine.get(&reservation.item).is_none();
-        if is_lost && reservation.state == ReservationState::Loaded {
+        let is_missing = engine.get(&reservation.item).is_none();
+        if is_missing && reservation.state == ReservationState::Loaded {
             reservation.state = ReservationState::Reserved;
         }
     }
 }
 
-/// An engine that checks fencing refuses what is older than the highest number that it has seen.
+/// Removes stray orders that the engine will refuse: an engine that checks fencing refuses orders
+/// below the highest number that it has seen.
 fn drop_fenced_strays(record: &mut ServerRecord, engine: &EngineState) {
     if !record.checks_fencing {
         return;
@@ -364,43 +374,44 @@
     }
 }
 
-fn release_settled(record: &mut ServerRecord) {
-    let is_free = |reservation: &Reservation| {
+fn release_unneeded(record: &mut ServerRecord) {
+    let is_unneeded = |reservation: &Reservation| {
         reservation.state == ReservationState::Retained && reservation.strays.is_empty()
     };
-    record.reservations.retain(|reservation| !is_free(reservation));
+    record.reservations.retain(|reservation| !is_unneeded(reservation));
 }
 
-/// Records the next order, or returns `None` where the plan is carried out as far as it can be.
-fn next_order(
+/// Returns the record with the next order or release, or `None` if the plan is carried out as far as
+/// is possible now.
+fn record_next_order(
     record: &ServerRecord,
     engine: &EngineState,
-    me: &HolderId,
-    wishes: &ReconcileInput<'_>,
+    own_id: &HolderId,
+    input: &ReconcileInput<'_>,
 ) -> Option<ServerRecord> {
-    next_unload(record, me, wishes)
-        .or_else(|| next_load(record, me, wishes))
-        .or_else(|| drop_unwanted_reservation(record, engine, wishes))
+    record_next_unload(record, own_id, input)
+        .or_else(|| record_next_load(record, own_id, input))
+        .or_else(|| release_unwanted(record, engine, input))
 }
 
-fn is_wanted(wishes: &ReconcileInput<'_>, item: &str) -> bool {
-    wishes.items.iter().any(|wanted| &*wanted.name == item)
+fn is_wanted(input: &ReconcileInput<'_>, item: &str) -> bool {
+    input.items.iter().any(|wanted| &*wanted.name == item)
 }
 
-fn next_unload(
+fn record_next_unload(
     record: &ServerRecord,
-    me: &HolderId,
-    wishes: &ReconcileInput<'_>,
+    own_id: &HolderId,
+    input: &ReconcileInput<'_>,
 ) -> Option<ServerRecord> {
-    let at = record.reservations.iter().position(|reservation| {
+    let index = record.reservations.iter().position(|reservation| {
         reservation.state == ReservationState::Loaded
-            && !is_wanted(wishes, &reservation.item)
-            && (wishes.may_unload)(&reservation.item)
+            && !is_wanted(input, &reservation.item)
+            && (input.may_unload)(&reservation.item)
     })?;
     let mut record = record.clone();
     record.fence += 1;
     let fence = record.fence;
-    let reservation = &mut record.reservations[at];
+    let reservation = &mut record.reservations[index];
     reservation.state = ReservationState::Unloading;
     record.pending = Some(Order {
         fence,
@@ -408,20 +419,20 @@
         item: reservation.item.clone(),
         base: None,
         memory_mib: reservation.memory_mib,
-        issuer: me.clone(),
+        issuer: own_id.clone(),
     });
     Some(record)
 }
 
-fn next_load(
+fn record_next_load(
     record: &ServerRecord,
-    me: &HolderId,
-    wishes: &ReconcileInput<'_>,
+    own_id: &HolderId,
+    input: &ReconcileInput<'_>,
 ) -> Option<ServerRecord> {
-    if !wishes.may_load {
+    if !input.may_load {
         return None;
     }
-    let wanted = wishes.items.iter().find(|wanted| {
+    let wanted = input.items.iter().find(|wanted| {
         let has_base = wanted.base.as_ref().is_none_or(|base| record.is_loaded(base));
         has_base && !record.is_loaded(&wanted.name) && fits(record, wanted)
     })?;
@@ -446,31 +457,31 @@
         item: wanted.name.clone(),
         base: wanted.base.clone(),
         memory_mib: wanted.memory_mib,
-        issuer: me.clone(),
+        issuer: own_id.clone(),
     });
     Some(record)
 }
 
 fn fits(record: &ServerRecord, wanted: &WantedItem) -> bool {
-    let own = record.get(&wanted.name).map_or(0, |reservation| reservation.memory_mib);
-    let others = record.reserved_mib() - own;
-    others.saturating_add(own.max(wanted.memory_mib)) <= record.capacity_mib
+    let already_reserved = record.get(&wanted.name).map_or(0, |reservation| reservation.memory_mib);
+    let others = record.reserved_mib() - already_reserved;
+    others.saturating_add(already_reserved.max(wanted.memory_mib)) <= record.capacity_mib
 }
 
-/// Gives back a reservation whose load the engine has lost and the plan no longer wants.
-fn drop_unwanted_reservation(
+/// Gives up a reservation for an item that the engine does not have and the plan no longer wants.
+fn release_unwanted(
     record: &ServerRecord,
     engine: &EngineState,
-    wishes: &ReconcileInput<'_>,
+    input: &ReconcileInput<'_>,
 ) -> Option<ServerRecord> {
     let is_unwanted = |reservation: &Reservation| {
         reservation.state == ReservationState::Reserved
-            && !is_wanted(wishes, &reservation.item)
+            && !is_wanted(input, &reservation.item)
             && engine.get(&reservation.item).is_none()
     };
-    let at = record.reservations.iter().position(is_unwanted)?;
+    let index = record.reservations.iter().position(is_unwanted)?;
     let mut record = record.clone();
-    record.reservations[at].state = ReservationState::Retained;
-    release_settled(&mut record);
+    record.reservations[index].state = ReservationState::Retained;
+    release_unneeded(&mut record);
     Some(record)
 }
--- a/savoryport_core/src/ledger/record.rs
+++ b/savoryport_core/src/ledger/record.rs
@@ -1,121 +1,123 @@
-//! The record of one server, as it stands in the key-value service.
+//! The record of one server, as stored in the key-value service.
 
 use smallvec::SmallVec;
 
 use crate::Name;
 
 key! {
-    /// The direction of an order.
+    /// What an order tells the engine to do.
     #[serde(rename_all = "lowercase")]
     pub enum OrderKind {
-        /// Bring a model or adapter into memory.
+        /// Load a model or adapter into memory.
         Load,
-        /// Take it out of memory.
+        /// Remove it from memory.
         Unload,
     }
 }
 
 key! {
-    /// How far an item has come in the engine's memory.
+    /// The state of a model or adapter in the engine's memory.
     #[serde(rename_all = "lowercase")]
     pub enum ItemState {
-        /// Its memory is taken; it does not answer yet.
+        /// Its memory is allocated, but it does not answer requests yet.
         Loading,
-        /// It answers.
+        /// It answers requests.
         Loaded,
     }
 }
 
 key! {
-    /// How far a reservation has come.
+    /// The state of a reservation.
     #[serde(rename_all = "lowercase")]
     pub enum ReservationState {
-        /// A load may be under way.
+        /// A load may be in progress.
         Reserved,
         /// The engine confirmed the load.
         Loaded,
-        /// An unload may be under way.
+        /// An unload may be in progress.
         Unloading,
-        /// Not in memory, but an order that may still arrive could load it.
+        /// The item is not in memory, but an order that may still arrive could load it.
         Retained,
     }
 }
 
 value! {
-    /// One control process; a restart makes another.
+    /// Identifies a control process; a restarted process has another identity.
     pub struct HolderId {
-        /// The VM it runs on.
+        /// The VM that the process runs on.
         pub vm: Name,
-        /// Differs for each process on that VM.
+        /// Differs between the successive processes on that VM.
         pub incarnation: u64,
     }
 
-    /// An order to an engine, recorded before it is sent.
+    /// An order to an engine, written to the record before it is sent.
     pub struct Order {
-        /// The fencing number; each order of a server has a higher one.
+        /// The fencing number, which increases with each order to a server.
         pub fence: u64,
-        /// The direction.
+        /// Whether to load or to unload.
         pub kind: OrderKind,
         /// The model or adapter.
         pub item: Name,
-        /// The model that an adapter belongs to.
+        /// The model that the adapter belongs to; `None` for a model and in an unload order.
         pub base: Option<Name>,
-        /// Its memory in MiB.
+        /// The memory that the item needs, in MiB.
         pub memory_mib: u32,
-        /// The process that recorded the order, which alone may send it.
+        /// The process that recorded the order. No other process may send it.
         pub issuer: HolderId,
     }
 
-    /// How a stray order may still reach an engine.
+    /// Which engine processes a stray order may still reach.
     pub enum StrayReach {
-        /// The issuer may still send it, to whatever engine process it finds.
+        /// Any of them: the issuer may still send the order, to whichever engine process is running.
         Open,
-        /// The issuer will not send it again; bytes may be under way to any engine process so far.
+        /// Any that has been started so far: the issuer will not send the order again, but its bytes
+        /// may still be in transit.
         Closed,
-        /// Bytes may be under way to this engine process or to an earlier one, and to no later one:
-        /// it was seen running after the issuer's last sending.
+        /// The engine process of this incarnation and earlier ones, but no later one: this process
+        /// was seen running after the issuer had sent the order for the last time.
         UpTo(u64),
     }
 
-    /// A load order that may still reach the engine.
+    /// A load order of which a copy may still reach the engine.
     pub struct StrayOrder {
-        /// Its fencing number.
+        /// The fencing number of the order.
         pub fence: u64,
-        /// The process that recorded it.
+        /// The process that recorded the order.
         pub issuer: HolderId,
-        /// How it may still arrive.
+        /// Which engine processes it may still reach.
         pub reach: StrayReach,
     }
 
-    /// Memory set aside for a model or adapter.
+    /// Memory reserved for a model or adapter.
     pub struct Reservation {
         /// The model or adapter.
         pub item: Name,
-        /// Its memory in MiB.
+        /// The reserved memory in MiB.
         pub memory_mib: u32,
-        /// How far it has come.
+        /// The state of the load or unload that the reservation is for.
         pub state: ReservationState,
-        /// Load orders that may still arrive.
+        /// Load orders for the item that may still arrive.
         pub strays: SmallVec<[StrayOrder; 1]>,
     }
 
-    /// The ledger of one server.
+    /// The ledger of one server: its memory reservations and the order in progress.
     pub struct ServerRecord {
-        /// The highest fencing number given to an order.
+        /// The highest fencing number assigned so far.
         pub fence: u64,
-        /// The process that may record orders; a later one takes over by writing its own name.
+        /// The control process that may record orders; a successor takes over by writing its own
+        /// identity here.
         pub holder: Option<HolderId>,
-        /// The plan that the holder follows; it unloads nothing under an older one.
+        /// The version of the plan that the holder follows. Nothing is unloaded under an older plan.
         pub plan_version: u64,
         /// The memory that may be reserved, in MiB.
         pub capacity_mib: u32,
-        /// Whether the engine refuses an order with an old fencing number.
+        /// Whether the engine refuses an order with an outdated fencing number.
         pub checks_fencing: bool,
-        /// The engine process that the states below were confirmed by.
+        /// The incarnation of the engine process that confirmed the states below.
         pub engine_incarnation: u64,
-        /// What is, may be or may yet come to be in memory.
+        /// The models and adapters that are in memory or may still be loaded into it.
         pub reservations: Vec<Reservation>,
-        /// The one order under way.
+        /// The order in progress, of which there is at most one.
         pub pending: Option<Order>,
     }
 
@@ -123,28 +125,28 @@
     pub struct EngineItem {
         /// The model or adapter.
         pub name: Name,
-        /// Its memory in MiB.
+        /// The memory that it occupies, in MiB.
         pub memory_mib: u32,
-        /// How far it has come.
+        /// Whether it is still loading.
         pub state: ItemState,
     }
 
-    /// The engine's own word about its memory at the moment of the answer.
+    /// The engine's own report of its memory at the time of its response.
     pub struct EngineState {
         /// Differs for each engine process.
         pub incarnation: u64,
-        /// The highest fencing number that the engine has seen; 0 where it does not check.
+        /// The highest fencing number that the engine has seen, or 0 if it does not check fencing.
         pub highest_fence: u64,
-        /// What is in memory.
+        /// The models and adapters in memory.
         pub items: Vec<EngineItem>,
-        /// Whether the engine takes no new work.
+        /// Whether the engine is draining and takes no new work.
         #[serde(default)]
         pub draining: bool,
     }
 }
 
 impl ServerRecord {
-    /// Returns an empty ledger.
+    /// Creates a record without reservations.
     pub fn new(capacity_mib: u32, checks_fencing: bool) -> Self {
         Self {
             fence: 0,
@@ -163,10 +165,11 @@
         self.reservations.iter().map(|reservation| reservation.memory_mib).sum()
     }
 
-    /// Returns the memory in MiB that is held back only for orders that may still arrive.
+    /// Returns the memory in MiB that is reserved only because of orders that may still arrive.
     pub fn retained_mib(&self) -> u32 {
-        let retained = |reservation: &&Reservation| reservation.state == ReservationState::Retained;
-        self.reservations.iter().filter(retained).map(|reservation| reservation.memory_mib).sum()
+        let is_retained =
+            |reservation: &&Reservation| reservation.state == ReservationState::Retained;
+        self.reservations.iter().filter(is_retained).map(|reservation| reservation.memory_mib).sum()
     }
 
     /// Returns the reservation of an item.
@@ -174,7 +177,7 @@
         self.reservations.iter().find(|reservation| &*reservation.item == item)
     }
 
-    /// Returns whether the engine confirmed that the item answers.
+    /// Returns whether the engine confirmed that the item is loaded.
     pub fn is_loaded(&self, item: &str) -> bool {
         self.get(item).is_some_and(|reservation| reservation.state == ReservationState::Loaded)
     }
