--- a/savoryport_core/tests/fake_engine/mod.rs
+++ b/savoryport_core/tests/fake_engine/mod.rs
@@ -1,6 +1,6 @@
-//! A fake engine for the searches, whose own count of memory is the checker.
+//! A fake engine for the search tests, which use its own memory accounting as the check.
 
-// Each search uses its own part of this.
+// Each search test uses only a part of this module.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -10,18 +10,19 @@
     EngineItem, EngineState, ItemState, Order, OrderKind, OrderResponse,
 };
 
-/// An engine that keeps its own count.
+/// An engine that accounts for its memory by itself.
 pub struct FakeEngine {
     capacity_mib: u32,
     checks_fencing: bool,
     pub incarnation: u64,
     highest_fence: u64,
+    /// The memory in MiB of each item, and whether it is loaded.
     pub items: BTreeMap<Name, (u32, bool)>,
     pub overcommitted: bool,
 }
 
 impl FakeEngine {
-    /// Starts an engine with empty memory.
+    /// Creates an engine with empty memory.
     pub fn new(capacity_mib: u32, checks_fencing: bool) -> Self {
         Self {
             capacity_mib,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Lets every load that is under way end, and returns how many there were.
+    /// Completes every load in progress and returns their number.
     pub fn finish_loads(&mut self) -> u64 {
         let mut finished = 0;
         for (_, is_loaded) in self.items.values_mut() {
@@ -43,20 +44,20 @@
         finished
     }
 
-    /// Replaces the engine by another process.
+    /// Replaces the engine process by a new one with empty memory.
     pub fn restart(&mut self) {
         self.incarnation += 1;
         self.highest_fence = 0;
         self.items.clear();
     }
 
-    /// Returns whether a model answers.
-    pub fn answers(&self, model: &str) -> bool {
+    /// Returns whether a model is loaded.
+    pub fn is_loaded(&self, model: &str) -> bool {
         self.items.get(model).is_some_and(|(_, is_loaded)| *is_loaded)
     }
 
-    /// Carries an order out, or refuses it for its fencing number.
-    pub fn carry_out(&mut self, order: &Order) -> OrderResponse {
+    /// Executes an order, or refuses it because of its fencing number.
+    pub fn execute(&mut self, order: &Order) -> OrderResponse {
         if self.checks_fencing && order.fence < self.highest_fence {
             return OrderResponse::Refused(self.state());
         }
@@ -67,12 +68,12 @@
             }
             OrderKind::Unload => drop(self.items.remove(&order.item)),
         }
-        let used: u32 = self.items.values().map(|(mib, _)| mib).sum();
-        self.overcommitted |= used > self.capacity_mib;
+        let used_mib: u32 = self.items.values().map(|(mib, _)| mib).sum();
+        self.overcommitted |= used_mib > self.capacity_mib;
         OrderResponse::Accepted(self.state())
     }
 
-    /// Returns what the engine says of itself.
+    /// Returns the state that the engine reports.
     pub fn state(&self) -> EngineState {
         let item = |(name, (mib, is_loaded)): (&Name, &(u32, bool))| EngineItem {
             name: name.clone(),
--- a/savoryport_core/tests/reachability_search.rs
+++ b/savoryport_core/tests/reachability_search.rs
@@ -1,8 +1,8 @@
-//! Searches interleavings of moves for one that leaves a model without any copy that answers.
+//! Searches interleavings of model moves for one that leaves a model without a loaded copy.
 //!
-//! Several servers have holders of their own, which see plans and each other's ledgers late. Plans
-//! change at any time, answers are lost, late orders arrive, holders are replaced. The checker is the
-//! engines' own memory.
+//! Each of several servers has its own holder, which sees plans and the ledgers of other servers
+//! with a delay. Plans change at any time, responses are lost, late orders arrive and holders are
+//! replaced. The check uses the fake engines' own memory.
 
 mod fake_engine;
 
@@ -32,57 +32,58 @@
     record: ServerRecord,
     revision: u64,
     engine: FakeEngine,
-    steward: Reconciler,
+    reconciler: Reconciler,
     incarnation: u64,
-    view: Replica,
-    late: Vec<Order>,
+    replica: Replica,
+    late_orders: Vec<Order>,
 }
 
 impl Server {
     fn step(&mut self, rng: &mut SmallRng) {
-        let items = self.view.plan.wanted(&self.name, &self.view.table);
+        let items = self.replica.plan.wanted(&self.name, &self.replica.table);
         let incarnation = self.incarnation;
-        let step = self.steward.next_step(&ReconcileInput {
-            plan_version: self.view.plan.version,
+        let step = self.reconciler.next_step(&ReconcileInput {
+            plan_version: self.replica.plan.version,
             items: &items,
-            may_unload: &|item| self.view.may_unload(&self.name, item),
+            may_unload: &|item| self.replica.may_unload(&self.name, item),
             is_gone: &|holder| holder.incarnation < incarnation,
             may_act: true,
             may_load: true,
         });
         match step {
-            Step::Read => self.steward.on_read(self.record.clone(), self.revision),
+            Step::Read => self.reconciler.on_read(self.record.clone(), self.revision),
             Step::Write { record, revision } => {
-                assert_eq!(revision, self.revision, "nobody else writes this record");
+                assert_eq!(revision, self.revision, "only this server's holder writes its record");
                 self.record = record.clone();
                 self.revision += 1;
                 let is_lost = rng.random_bool(0.1);
-                let answer = WriteResult::Written(self.revision);
-                self.steward.on_write(record, if is_lost { WriteResult::Unknown } else { answer });
+                let result = WriteResult::Written(self.revision);
+                self.reconciler
+                    .on_write(record, if is_lost { WriteResult::Unknown } else { result });
             }
             Step::Send(order) => {
-                self.steward.on_order_sent(&order);
-                let answer = self.engine.carry_out(&order);
+                self.reconciler.on_order_sent(&order);
+                let response = self.engine.execute(&order);
                 match rng.random_range(0..10) {
-                    0 => self.late.push(order),
-                    _ => self.steward.on_order_response(&order, answer),
+                    0 => self.late_orders.push(order),
+                    _ => self.reconciler.on_order_response(&order, response),
                 }
             }
-            Step::Query => self.steward.on_engine_state(self.engine.state()),
-            Step::Idle => self.steward.invalidate_engine_state(),
+            Step::Query => self.reconciler.on_engine_state(self.engine.state()),
+            Step::Idle => self.reconciler.invalidate_engine_state(),
         }
     }
 }
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     table: Table,
     plan: Plan,
     servers: Vec<Server>,
-    moves: u64,
+    completed_loads: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let row = |(name, memory_mib): &(&str, u32)| Row {
             kind: Kind::Model,
@@ -99,50 +100,53 @@
         };
         let rows = MODELS.iter().map(row).collect();
         let table = Table { version: 1, change_id: String::new(), rows };
-        let server = |at: usize| Server {
-            name: format!("s{at}").into(),
+        let server = |index: usize| Server {
+            name: format!("s{index}").into(),
             record: ServerRecord::new(CAPACITY_MIB, true),
             revision: 1,
             engine: FakeEngine::new(CAPACITY_MIB, true),
-            steward: Reconciler::new(HolderId { vm: format!("vm-{at}").into(), incarnation: 1 }),
+            reconciler: Reconciler::new(HolderId {
+                vm: format!("vm-{index}").into(),
+                incarnation: 1,
+            }),
             incarnation: 1,
-            view: Replica::default(),
-            late: Vec::new(),
+            replica: Replica::default(),
+            late_orders: Vec::new(),
         };
-        let mut world = Self {
+        let mut sim = Self {
             rng: SmallRng::seed_from_u64(seed),
             table,
             plan: Plan::default(),
             servers: (0..SERVERS).map(server).collect(),
-            moves: 0,
+            completed_loads: 0,
         };
-        world.change_plan();
-        while !MODELS.iter().all(|(model, _)| world.is_reachable(model)) {
-            (0..SERVERS).for_each(|at| world.see(at));
-            (0..SERVERS).for_each(|at| world.servers[at].step(&mut world.rng));
-            world.finish_loads();
+        sim.change_plan();
+        while !MODELS.iter().all(|(model, _)| sim.is_reachable(model)) {
+            (0..SERVERS).for_each(|index| sim.deliver_update(index));
+            (0..SERVERS).for_each(|index| sim.servers[index].step(&mut sim.rng));
+            sim.finish_loads();
         }
-        world
+        sim
     }
 
     fn is_reachable(&self, model: &str) -> bool {
-        self.servers.iter().any(|server| server.engine.answers(model))
+        self.servers.iter().any(|server| server.engine.is_loaded(model))
     }
 
     fn step(&mut self) {
-        let at = self.rng.random_range(0..SERVERS);
+        let index = self.rng.random_range(0..SERVERS);
         match self.rng.random_range(0..100) {
-            0..70 => self.servers[at].step(&mut self.rng),
+            0..70 => self.servers[index].step(&mut self.rng),
             70..80 => self.finish_loads(),
-            80..92 => self.see(at),
+            80..92 => self.deliver_update(index),
             92..96 => self.change_plan(),
-            96..98 => self.deliver_late(at),
-            _ => self.replace_holder(at),
+            96..98 => self.deliver_late_order(index),
+            _ => self.replace_holder(index),
         }
     }
 
-    /// Shows one server's holder some of what stands elsewhere, and perhaps the plan in force.
-    fn see(&mut self, at: usize) {
+    /// Gives one server's holder the state of a random server, and perhaps the current plan.
+    fn deliver_update(&mut self, index: usize) {
         let other = &self.servers[self.rng.random_range(0..SERVERS)];
         let residency = Residency::of(&other.record, other.revision);
         let plan = self.rng.random_bool(0.5).then(|| self.plan.clone());
@@ -152,22 +156,22 @@
             residency: [(other.name.clone(), residency)].into(),
             ..Update::default()
         };
-        self.servers[at].view.merge(update);
+        self.servers[index].replica.merge(update);
     }
 
-    /// Moves models about: any server may be left out, as one that drains.
+    /// Makes a new plan, in which any server may be left out as if it were draining.
     fn change_plan(&mut self) {
-        let left_out = self.rng.random_range(0..SERVERS * 2);
+        let drained = self.rng.random_range(0..SERVERS * 2);
         let servers: Vec<PlannedServer> = (0..SERVERS)
-            .filter(|at| *at != left_out)
-            .map(|at| PlannedServer {
-                name: self.servers[at].name.clone(),
-                failure_domain: format!("d{at}").into(),
+            .filter(|index| *index != drained)
+            .map(|index| PlannedServer {
+                name: self.servers[index].name.clone(),
+                failure_domain: format!("d{index}").into(),
                 capacity_mib: CAPACITY_MIB,
             })
             .collect();
-        let hot = MODELS[self.rng.random_range(0..MODELS.len())].0;
-        let demand = HashMap::from([(Name::from(hot), 10.0)]);
+        let popular = MODELS[self.rng.random_range(0..MODELS.len())].0;
+        let demand = HashMap::from([(Name::from(popular), 10.0)]);
         let (table, current) = (&self.table, &self.plan);
         let input =
             PlacementInput { table, servers: &servers, demand: &demand, current, move_budget: 2 };
@@ -176,40 +180,42 @@
 
     fn finish_loads(&mut self) {
         for server in &mut self.servers {
-            self.moves += server.engine.finish_loads();
+            self.completed_loads += server.engine.finish_loads();
         }
     }
 
-    fn deliver_late(&mut self, at: usize) {
-        if let Some(order) = self.servers[at].late.pop() {
-            self.servers[at].engine.carry_out(&order);
+    fn deliver_late_order(&mut self, index: usize) {
+        if let Some(order) = self.servers[index].late_orders.pop() {
+            self.servers[index].engine.execute(&order);
         }
     }
 
-    /// A holder that knows nothing yet takes the place of another.
-    fn replace_holder(&mut self, at: usize) {
-        let server = &mut self.servers[at];
+    /// Replaces a holder by a new one that knows nothing yet.
+    fn replace_holder(&mut self, index: usize) {
+        let server = &mut self.servers[index];
         server.incarnation += 1;
-        let id = HolderId { vm: format!("vm-{at}").into(), incarnation: server.incarnation };
-        server.steward = Reconciler::new(id);
+        let id = HolderId { vm: format!("vm-{index}").into(), incarnation: server.incarnation };
+        server.reconciler = Reconciler::new(id);
     }
 }
 
 #[test]
-fn every_model_answers_while_models_move() {
-    let mut moves = 0;
+fn every_model_stays_loaded_somewhere_while_models_move() {
+    let mut completed_loads = 0;
     for seed in 0..SEEDS {
-        let mut world = World::new(seed);
-        world.moves = 0;
+        let mut sim = Simulation::new(seed);
+        sim.completed_loads = 0;
         for step in 0..STEPS {
-            world.step();
+            sim.step();
             for (model, _) in MODELS {
-                assert!(world.is_reachable(model), "seed {seed}, step {step}: no copy of {model}");
+                assert!(sim.is_reachable(model), "seed {seed}, step {step}: no copy of {model}");
             }
         }
-        moves += world.moves;
+        completed_loads += sim.completed_loads;
     }
-    // A search in which nothing moves proves nothing.
-    assert!(moves > SEEDS, "only {moves} moves in {SEEDS} interleavings");
-    println!("{SEEDS} interleavings, {moves} moves, every model answered throughout");
+    // Without moves the search would not test anything.
+    assert!(completed_loads > SEEDS, "only {completed_loads} loads in {SEEDS} interleavings");
+    println!(
+        "{SEEDS} interleavings, {completed_loads} loads, every model loaded somewhere throughout"
+    );
 }
--- a/savoryport_core/tests/attempt.rs
+++ b/savoryport_core/tests/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! What a caller may be told about its request.
+//! Tests of the request lifecycle: the outcome that a caller may be told, and retries.
 
 use proptest::prelude::*;
 use savoryport_core::request_lifecycle::{Outcome, RequestEvent, RequestLifecycle};
@@ -8,11 +8,11 @@
 };
 
 fn outcome_after(repeatable: bool, events: &[RequestEvent]) -> Option<Outcome> {
-    let mut attempt = RequestLifecycle::new(repeatable);
+    let mut lifecycle = RequestLifecycle::new(repeatable);
     for event in events {
-        attempt.on_event(*event).unwrap();
+        lifecycle.on_event(*event).unwrap();
     }
-    attempt.outcome()
+    lifecycle.outcome()
 }
 
 #[test]
@@ -24,7 +24,7 @@
         (&[Start, Connected, FirstByte, Finished], Outcome::Done),
         (&[Start, Connected, Broken, GiveUp], Outcome::Unknown),
         (&[Start, Connected, FirstByte, Broken, GiveUp], Outcome::Unknown),
-        // A later refusal does not undo that the first server may have run it.
+        // A later rejection does not change that the first server may have run the request.
         (&[Start, Connected, Broken, Start, Connected, Rejected, GiveUp], Outcome::Unknown),
         (&[Start, Connected, Broken, Start, ConnectFailed, GiveUp], Outcome::Unknown),
     ];
@@ -34,31 +34,37 @@
 }
 
 #[test]
-fn a_request_in_doubt_is_repeated_only_if_it_may_be_then_and_now() {
-    for (then, now, expected) in
+fn a_request_in_doubt_is_retried_only_if_repeatable_at_arrival_and_now() {
+    for (at_arrival, now, expected) in
         [(true, true, true), (true, false, false), (false, true, false), (false, false, false)]
     {
-        let mut attempt = RequestLifecycle::new(then);
+        let mut lifecycle = RequestLifecycle::new(at_arrival);
         for event in [Start, Connected, Broken] {
-            attempt.on_event(event).unwrap();
+            lifecycle.on_event(event).unwrap();
         }
-        assert_eq!(attempt.may_retry(now), expected, "repeatable then {then}, now {now}");
+        assert_eq!(
+            lifecycle.may_retry(now),
+            expected,
+            "repeatable at arrival {at_arrival}, now {now}"
+        );
     }
 }
 
 proptest! {
-    /// Whatever happens, "not run" is only said when no server may have run the request, and a
-    /// request that may not repeat is never handed over twice after it may have run.
+    /// For any sequence of events, the outcome "not run" is only given if no server may have run the
+    /// request, and a request that is not repeatable is never sent again after it may have run.
     #[test]
-    fn not_run_is_exact(events in prop::collection::vec(0..8_usize, 0..30), repeatable: bool) {
-        let mut attempt = RequestLifecycle::new(repeatable);
-        let (mut is_connecting, mut is_handed, mut may_have_run) = (false, false, false);
+    fn not_run_is_reported_only_if_no_server_may_have_run_the_request(
+        events in prop::collection::vec(0..8_usize, 0..30), repeatable: bool
+    ) {
+        let mut lifecycle = RequestLifecycle::new(repeatable);
+        let (mut is_connecting, mut is_sent, mut may_have_run) = (false, false, false);
         for event in events.into_iter().map(|at| RequestEvent::ALL[at]) {
-            // The driver starts a request only where the chart's rules allow it.
-            if event == Start && !attempt.may_retry(repeatable) {
+            // Callers start a request only if the lifecycle allows it.
+            if event == Start && !lifecycle.may_retry(repeatable) {
                 continue;
             }
-            if attempt.on_event(event).is_err() {
+            if lifecycle.on_event(event).is_err() {
                 continue;
             }
             match event {
@@ -66,14 +72,14 @@
                 Connected => {
                     prop_assert!(is_connecting);
                     prop_assert!(repeatable || !may_have_run);
-                    is_handed = true;
+                    is_sent = true;
                 }
-                Rejected => is_handed = false,
-                FirstByte | Broken | Finished => may_have_run |= is_handed,
+                Rejected => is_sent = false,
+                FirstByte | Broken | Finished => may_have_run |= is_sent,
                 ConnectFailed | GiveUp => {}
             }
         }
-        if attempt.outcome() == Some(Outcome::NotRun) {
+        if lifecycle.outcome() == Some(Outcome::NotRun) {
             prop_assert!(!may_have_run);
         }
     }
--- a/savoryport_core/tests/chart.rs
+++ b/savoryport_core/tests/state_chart.rs
@@ -1,4 +1,4 @@
-//! State charts: loading, refusing and walking them.
+//! Tests of parsing, rejecting and executing state charts.
 
 use assert_matches::assert_matches;
 use savoryport_core::state_chart::{StateChart, StateChartError, StateMachine};
@@ -7,23 +7,23 @@
     [include_str!("../charts/attempt.json"), include_str!("../charts/lease.json")];
 
 #[test]
-fn every_transition_of_every_chart_can_be_walked() {
+fn every_transition_of_every_chart_can_be_taken() {
     for text in CHARTS {
         let chart = StateChart::parse(text).unwrap();
-        let mut walked = 0;
+        let mut taken = 0;
         for (state, events) in &chart.states {
             for (event, target) in events {
                 let mut machine = machine_in(&chart, state);
                 assert_eq!(machine.fire(event).unwrap(), &**target);
-                walked += 1;
+                taken += 1;
             }
         }
-        assert!(walked > 0);
+        assert!(taken > 0);
     }
 }
 
 #[test]
-fn an_event_without_a_place_is_refused_and_changes_nothing() {
+fn an_unexpected_event_is_refused_and_keeps_the_state() {
     let chart = StateChart::parse(CHARTS[0]).unwrap();
     let mut machine = StateMachine::new(chart);
     assert_matches!(machine.fire("finished"), Err(StateChartError::UnexpectedEvent { .. }));
@@ -47,11 +47,11 @@
     assert_matches!(StateChart::parse(r#"{"name":"c","x":1}"#), Err(StateChartError::Malformed(_)));
 }
 
-/// Finds a path of events from the initial state, breadth first.
+/// Returns a machine that was brought into the given state, by a breadth-first search.
 fn machine_in(chart: &std::sync::Arc<StateChart>, state: &str) -> StateMachine {
-    let mut open = std::collections::VecDeque::from([StateMachine::new(chart.clone())]);
+    let mut queue = std::collections::VecDeque::from([StateMachine::new(chart.clone())]);
     let mut seen = std::collections::BTreeSet::new();
-    while let Some(machine) = open.pop_front() {
+    while let Some(machine) = queue.pop_front() {
         if machine.state() == state {
             return machine;
         }
@@ -59,7 +59,7 @@
             for event in chart.states[machine.state()].keys() {
                 let mut next = machine.clone();
                 next.fire(event).unwrap();
-                open.push_back(next);
+                queue.push_back(next);
             }
         }
     }
--- a/savoryport_core/tests/ticket.rs
+++ b/savoryport_core/tests/ticket.rs
@@ -1,4 +1,4 @@
-//! A request with a ticket starts at most once, whatever happens to it and to its home.
+//! Tests that a request with a ticket starts at most once, also when its home is restarted.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -8,57 +8,57 @@
 
 const EPOCH: Duration = Duration::from_secs(60);
 
-fn book(incarnation: u64, now: Instant) -> TicketIssuer {
+fn new_issuer(incarnation: u64, now: Instant) -> TicketIssuer {
     TicketIssuer::new("vm-1".into(), incarnation, EPOCH, now)
 }
 
 #[test]
 fn a_ticket_starts_once_and_only_at_its_home() {
     let now = Instant::now();
-    let mut home = book(1, now);
-    let ticket = home.issue(now);
-    assert_eq!(home.admit(&ticket, now), TicketAdmission::Start);
-    assert_eq!(home.admit(&ticket, now), TicketAdmission::AlreadyStarted);
+    let mut issuer = new_issuer(1, now);
+    let ticket = issuer.issue(now);
+    assert_eq!(issuer.admit(&ticket, now), TicketAdmission::Start);
+    assert_eq!(issuer.admit(&ticket, now), TicketAdmission::AlreadyStarted);
     let mut other = TicketIssuer::new("vm-2".into(), 9, EPOCH, now);
     assert_eq!(other.admit(&ticket, now), TicketAdmission::OtherHome);
-    let mut successor = book(2, now);
+    let mut successor = new_issuer(2, now);
     assert_eq!(successor.admit(&ticket, now), TicketAdmission::TooOld);
 }
 
 #[test]
-fn a_ticket_is_refused_once_its_use_may_be_forgotten() {
+fn a_ticket_is_refused_once_its_use_may_have_been_discarded() {
     let start = Instant::now();
-    let mut home = book(1, start);
-    let ticket = home.issue(start);
-    assert_eq!(home.admit(&ticket, start + EPOCH * 2), TicketAdmission::Start);
-    assert_eq!(home.admit(&ticket, start + EPOCH * 2), TicketAdmission::AlreadyStarted);
-    assert_eq!(home.admit(&ticket, start + EPOCH * 3), TicketAdmission::TooOld);
+    let mut issuer = new_issuer(1, start);
+    let ticket = issuer.issue(start);
+    assert_eq!(issuer.admit(&ticket, start + EPOCH * 2), TicketAdmission::Start);
+    assert_eq!(issuer.admit(&ticket, start + EPOCH * 2), TicketAdmission::AlreadyStarted);
+    assert_eq!(issuer.admit(&ticket, start + EPOCH * 3), TicketAdmission::TooOld);
 }
 
 #[test]
-fn a_ticket_of_a_later_epoch_than_the_home_has_reached_is_refused() {
+fn a_ticket_of_a_future_epoch_is_refused() {
     let now = Instant::now();
     let forged = Ticket { home: "vm-1".into(), incarnation: 1, epoch: 9, number: 1 };
-    assert_eq!(book(1, now).admit(&forged, now), TicketAdmission::TooOld);
+    assert_eq!(new_issuer(1, now).admit(&forged, now), TicketAdmission::TooOld);
 }
 
 #[test]
-fn a_full_book_refuses_before_the_start() {
+fn a_ticket_is_refused_before_the_start_when_its_epoch_is_full() {
     let now = Instant::now();
-    let mut home = book(1, now);
+    let mut issuer = new_issuer(1, now);
     for _ in 0..MAX_STARTED_PER_EPOCH {
-        let ticket = home.issue(now);
-        assert_eq!(home.admit(&ticket, now), TicketAdmission::Start);
+        let ticket = issuer.issue(now);
+        assert_eq!(issuer.admit(&ticket, now), TicketAdmission::Start);
     }
-    let ticket = home.issue(now);
-    assert_eq!(home.admit(&ticket, now), TicketAdmission::Full);
-    home.release(&Ticket { number: 1, ..ticket.clone() });
-    assert_eq!(home.admit(&ticket, now), TicketAdmission::Start);
+    let ticket = issuer.issue(now);
+    assert_eq!(issuer.admit(&ticket, now), TicketAdmission::Full);
+    issuer.release(&Ticket { number: 1, ..ticket.clone() });
+    assert_eq!(issuer.admit(&ticket, now), TicketAdmission::Start);
 }
 
 proptest! {
     #[test]
-    fn a_ticket_survives_its_text(
+    fn a_ticket_is_parsed_from_its_own_text(
         home in "[a-z0-9.-]{1,20}", incarnation: u64, epoch: u64, number: u64
     ) {
         let ticket = Ticket { home: home.into(), incarnation, epoch, number };
@@ -66,29 +66,32 @@
     }
 
     #[test]
-    fn any_text_is_a_ticket_or_refused(text in ".{0,60}") {
+    fn parsing_any_text_does_not_panic(text in ".{0,60}") {
         let _ = text.parse::<Ticket>();
     }
 
-    /// Repetitions at any time, also after restarts of the home, start a request at most once.
+    /// Tickets that are sent repeatedly at any time, also after restarts of their home, start a
+    /// request at most once.
     #[test]
-    fn at_most_one_start(steps in prop::collection::vec((0..10_u8, 0..8_usize, 0..90_u64), 1..200)) {
+    fn a_ticket_starts_a_request_at_most_once(
+        steps in prop::collection::vec((0..10_u8, 0..8_usize, 0..90_u64), 1..200)
+    ) {
         let mut now = Instant::now();
-        let (mut incarnation, mut home) = (1, book(1, now));
+        let (mut incarnation, mut issuer) = (1, new_issuer(1, now));
         let mut tickets: Vec<Ticket> = Vec::new();
         let mut starts: HashMap<String, u32> = HashMap::new();
-        for (kind, at, seconds) in steps {
+        for (kind, index, seconds) in steps {
             match kind {
-                0..3 => tickets.push(home.issue(now)),
+                0..3 => tickets.push(issuer.issue(now)),
                 3 => now += Duration::from_secs(seconds),
                 4 => {
                     incarnation += 1;
-                    home = book(incarnation, now);
+                    issuer = new_issuer(incarnation, now);
                 }
                 _ if tickets.is_empty() => {}
                 _ => {
-                    let ticket = &tickets[at % tickets.len()];
-                    if home.admit(ticket, now) == TicketAdmission::Start {
+                    let ticket = &tickets[index % tickets.len()];
+                    if issuer.admit(ticket, now) == TicketAdmission::Start {
                         *starts.entry(ticket.to_string()).or_default() += 1;
                     }
                 }
