--- a/savoryport_core/src/lease.rs
+++ b/savoryport_core/src/lease.rs
@@ -71,7 +71,7 @@
     }
 
     fn fire(&mut self, event: &str) {
-        // A response that arrives after the lease was given up has no effect.
+        // A response that arrives after the lease was given up does not change the state.
         let _ = self.machine.fire(event);
     }
 }
--- a/savoryport_core/src/request_lifecycle.rs
+++ b/savoryport_core/src/request_lifecycle.rs
@@ -14,7 +14,7 @@
 });
 
 key! {
-    /// The outcome of a request as its caller is told.
+    /// The outcome of a request, as reported to its caller.
     #[serde(rename_all = "kebab-case")]
     pub enum Outcome {
         /// The whole response was delivered.
--- a/savoryport_core/tests/ledger_search.rs
+++ b/savoryport_core/tests/ledger_search.rs
@@ -26,7 +26,7 @@
 
 const CAPACITY_MIB: u32 = 100;
 
-/// Models of which about two fill the memory, so that one that the ledger misses overcommits it.
+/// Models that fill most of the memory in pairs, so that one that the ledger misses overcommits it.
 const MODELS: [(&str, u32); 4] = [("a", 60), ("b", 50), ("c", 40), ("d", 30)];
 
 /// A control process with at most one step in progress.
