--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -11,15 +11,15 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::boards::SharedBoards;
-use super::desk::Desks;
+use super::domain_controller::DomainControllers;
 use super::fleet::Fleet;
-use super::hub::Hub;
 use super::metrics::NodeMetrics;
+use super::peer_server::PeerReports;
 use super::peers::Peers;
-use super::reader::StoreContact;
+use super::routing_state::SharedRoutingState;
 use super::rpc::CopyUse;
 use super::settings::NodeSettings;
+use super::store_reader::StoreHealth;
 use super::view::Member;
 
 /// Shared by all tasks of a node.
@@ -33,17 +33,17 @@
     /// The platform's store.
     pub store: Store,
     /// Connections to backend servers, for requests.
-    pub pool: Pool,
+    pub request_pool: Pool,
     /// Connections to model engines, for orders and reports.
     pub order_pool: Pool,
     /// Beliefs about the fleet.
     pub fleet: Fleet,
     /// What is counted while requests run.
-    pub boards: SharedBoards,
+    pub routing: SharedRoutingState,
     /// What other nodes told this one.
-    pub hub: Hub,
+    pub peer_reports: PeerReports,
     /// When the store was last heard.
-    pub store_contact: StoreContact,
+    pub store_health: StoreHealth,
     /// This node as others know it.
     pub member: Member,
     /// A number that differs between starts of the process.
@@ -51,15 +51,15 @@
     /// Connections to other nodes.
     pub peers: Peers,
     /// Duties that this node holds.
-    pub desks: Desks,
+    pub controllers: DomainControllers,
     /// Counters and histograms.
     pub metrics: NodeMetrics,
     /// Cancelled when the node is asked to stop.
     pub stopping: CancellationToken,
     /// Cancelled when connections of callers are to close after their present request.
-    pub closing: CancellationToken,
+    pub connection_shutdown: CancellationToken,
     /// Tasks that serve callers.
-    pub serving: TaskTracker,
+    pub caller_tasks: TaskTracker,
     /// Random numbers, seeded from the VM's name and the time of the start.
     pub rng: Mutex<SmallRng>,
 }
@@ -73,8 +73,8 @@
     /// Returns the copies at servers of a failure domain that this domain's requests use.
     pub fn copies_in_domain(&self, domain: &str) -> Vec<CopyUse> {
         let view = self.fleet.view();
-        let mut uses = self.boards.lock().copies_in_use();
-        uses.extend(self.hub.follower_copies());
+        let mut uses = self.routing.lock().copies_in_use();
+        uses.extend(self.peer_reports.follower_copies());
         uses.retain(|usage| {
             let server = view.servers.get(&usage.server);
             server.is_some_and(|server| &*server.failure_domain == domain)
@@ -83,12 +83,12 @@
     }
 
     /// Returns a uniform number in 0..1.
-    pub fn draw(&self) -> f64 {
+    pub fn random_unit(&self) -> f64 {
         self.rng.lock().expect("no holder panics").random()
     }
 
     /// Returns a uniform number below 2^64.
-    pub fn draw_u64(&self) -> u64 {
+    pub fn random_u64(&self) -> u64 {
         self.rng.lock().expect("no holder panics").next_u64()
     }
 }
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -1,36 +1,36 @@
 //! A node: one process a VM, which takes callers' requests and any duty that needs a holder.
 //!
-//! A request's way leads through `callers`, `intake`, `relay`, `dispatch`, `verdict` and
-//! `stream`; `reader`, `sync` and
-//! `duty` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
+//! A request's way leads through `callers`, `receive`, `proxy`, `server_selection`, `server_response` and
+//! `stream`; `store_reader`, `sync` and
+//! `leadership` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
 
-mod answer;
-mod boards;
 mod callers;
 mod clock;
 mod context;
-mod desk;
 mod directory;
-mod dispatch;
-mod duty;
+mod domain_controller;
 mod engine;
-pub mod events;
+pub mod event_splitter;
 pub mod fleet;
-mod flight;
-mod hub;
-mod intake;
+mod in_flight;
+mod leadership;
 mod metrics;
+mod peer_server;
 mod peers;
 mod planner;
-pub mod prompts;
-pub mod reader;
-mod relay;
+pub mod prompt_log;
+mod proxy;
+mod receive;
+mod response;
+mod routing_state;
 pub mod rpc;
+mod server_response;
+mod server_selection;
 pub mod settings;
 mod status;
+pub mod store_reader;
 mod stream;
 mod sync;
-mod verdict;
 pub mod view;
 
 use std::io;
@@ -50,16 +50,16 @@
 use tokio_util::task::TaskTracker;
 use xxhash_rust::xxh3::xxh3_64;
 
-use self::boards::SharedBoards;
 use self::clock::BootClock;
 use self::context::NodeContext;
-use self::desk::Desks;
+use self::domain_controller::DomainControllers;
 use self::fleet::Fleet;
-use self::hub::Hub;
 use self::metrics::NodeMetrics;
+use self::peer_server::PeerReports;
 use self::peers::Peers;
-use self::reader::StoreContact;
+use self::routing_state::SharedRoutingState;
 use self::settings::NodeSettings;
+use self::store_reader::StoreHealth;
 use self::view::Member;
 
 /// A node that stops takes requests for this long: callers keep an address for up to three times the
@@ -95,7 +95,7 @@
     let callers = callers::listen(cx.settings.callers_listen).await?;
     let directory = callers::listen(cx.settings.directory_listen).await?;
     let readiness = callers::listen(cx.settings.readiness_listen).await?;
-    hub::start(&cx).await?;
+    peer_server::start(&cx).await?;
     let metrics_listen = SocketAddr::new(cx.settings.ip_address, cx.settings.metrics_port);
     let told = cx.clone();
     let status = move || status::status(&told);
@@ -103,19 +103,19 @@
         &metrics_listen.to_string(),
         cx.metrics.registry(),
         status,
-        cx.closing.clone(),
+        cx.connection_shutdown.clone(),
     );
     if let Err(err) = page {
         log::warn!(err:% = err; "no metrics page");
     }
     let (reads, reading) = watch::channel(true);
-    tokio::spawn(reader::run(cx.clone(), reading));
+    tokio::spawn(store_reader::run(cx.clone(), reading));
     tokio::spawn(sync::follow(cx.clone(), reads));
     tokio::spawn(sync::exchange(cx.clone()));
     tokio::spawn(directory::accept(cx.clone(), directory));
     tokio::spawn(directory::accept(cx.clone(), readiness));
     tokio::spawn(callers::accept(cx.clone(), callers));
-    let duties = tokio::spawn(duty::run(cx.clone()));
+    let duties = tokio::spawn(leadership::run(cx.clone()));
     log::info!(vm = &*cx.settings.vm, domain = &*cx.settings.failure_domain; "started");
     cx.stopping.cancelled().await;
     stop(&cx, duties).await;
@@ -128,12 +128,12 @@
     log::info!(within_ms = ends.as_millis() as u64; "stopping");
     let drain = async {
         tokio::time::sleep(STALE_ADDRESSES.min(ends / 2)).await;
-        cx.closing.cancel();
-        cx.serving.close();
-        cx.serving.wait().await;
+        cx.connection_shutdown.cancel();
+        cx.caller_tasks.close();
+        cx.caller_tasks.wait().await;
     };
     if tokio::time::timeout(ends, drain).await.is_err() {
-        log::warn!(open = cx.serving.len(); "stopped before everything was answered");
+        log::warn!(open = cx.caller_tasks.len(); "stopped before everything was answered");
     }
     let _ = tokio::time::timeout(STOP_MARGIN / 2, duties).await;
     log::info!("stopped");
@@ -153,20 +153,20 @@
         clock: Arc::new(SystemClock),
         lease_clock: Arc::new(BootClock::new()),
         store: Store::new(settings.store.clone(), store_timeout),
-        pool: Pool::default(),
+        request_pool: Pool::default(),
         order_pool: Pool::default(),
         fleet: Fleet::new(member.clone()),
-        boards: SharedBoards::new(bound, ASSUMED_NODES, settings.selection_costs()),
-        hub: Hub::default(),
-        store_contact: StoreContact::default(),
+        routing: SharedRoutingState::new(bound, ASSUMED_NODES, settings.selection_costs()),
+        peer_reports: PeerReports::default(),
+        store_health: StoreHealth::default(),
         tenure: tenure.max(1),
         member,
         peers: Peers::default(),
-        desks: Desks::default(),
+        controllers: DomainControllers::default(),
         metrics: NodeMetrics::default(),
         stopping,
-        closing: CancellationToken::new(),
-        serving: TaskTracker::new(),
+        connection_shutdown: CancellationToken::new(),
+        caller_tasks: TaskTracker::new(),
         rng: Mutex::new(SmallRng::seed_from_u64(tenure)),
         settings,
     }
--- a/savoryport/src/node/relay.rs
+++ b/savoryport/src/node/proxy.rs
@@ -17,10 +17,10 @@
 use savoryport_core::node::request::{PrefixKeys, RequestHead};
 use savoryport_platform::connection::{Connection, SendError};
 
-use super::answer::{Body, Cause, Refusal, pass_on};
 use super::context::NodeContext;
-use super::dispatch::Picked;
-use super::flight::Flight;
+use super::in_flight::InFlightRequest;
+use super::response::{Body, Refusal, RefusalCause, pass_on};
+use super::server_selection::Picked;
 use super::stream;
 
 /// A non-idempotent request uses a kept connection only if it was in use this recently: on one that
@@ -44,7 +44,7 @@
 const LONG_PATIENCE_SHARE: f64 = 0.5;
 
 /// One request on its way.
-pub struct Relay {
+pub struct ProxyRequest {
     pub(super) cx: Arc<NodeContext>,
     pub(super) deployment: Arc<Deployment>,
     pub(super) route: Route,
@@ -97,7 +97,7 @@
     pub(super) first: Option<Bytes>,
     pub(super) body: Incoming,
     pub(super) connection: Connection,
-    pub(super) flight: Flight,
+    pub(super) flight: InFlightRequest,
 }
 
 /// What a server answered.
@@ -109,7 +109,7 @@
 /// Serves one request of a caller.
 pub async fn serve(cx: Arc<NodeContext>, req: Request<Incoming>) -> Response<Body> {
     let arrived = cx.now();
-    match Relay::begin(cx.clone(), req, arrived).await {
+    match ProxyRequest::begin(cx.clone(), req, arrived).await {
         Ok(relay) => relay.run().await,
         Err(refusal) => {
             cx.metrics.note_refusal(refusal.cause);
@@ -118,7 +118,7 @@
     }
 }
 
-impl Relay {
+impl ProxyRequest {
     async fn run(mut self) -> Response<Body> {
         self.note_work();
         loop {
@@ -146,36 +146,36 @@
     /// Returns whether the request may be sent to one more server, and takes it from the budget.
     pub(super) fn may_send(&self) -> bool {
         let sent = self.tried.len() as u32;
-        let mut boards = self.cx.boards.lock();
+        let mut routing = self.cx.routing.lock();
         if sent == 0 {
-            boards.budget.earn(&self.service);
+            routing.retry_budget.earn(&self.service);
             return true;
         }
-        sent < self.route.max_attempts && boards.budget.take(&self.service)
+        sent < self.route.max_attempts && routing.retry_budget.take(&self.service)
     }
 
-    fn obstacle_to_retry(&self) -> Option<Cause> {
+    fn obstacle_to_retry(&self) -> Option<RefusalCause> {
         if self.left().is_zero() {
-            return Some(Cause::TimedOut);
+            return Some(RefusalCause::TimedOut);
         }
         if self.in_doubt && !self.route.kind.is_repeatable() {
-            return Some(Cause::Broken);
+            return Some(RefusalCause::Broken);
         }
         let exhausted = self.tried.len() as u32 >= self.route.max_attempts
             || self.unreachable >= MAX_UNREACHABLE;
-        exhausted.then_some(if self.in_doubt { Cause::Broken } else { Cause::NotRun })
+        exhausted.then_some(if self.in_doubt { RefusalCause::Broken } else { RefusalCause::NotRun })
     }
 
     /// Returns the refusal for a cause; a request that may have run is never said not to have.
-    fn refusal(&self, cause: Cause) -> Refusal {
+    fn refusal(&self, cause: RefusalCause) -> Refusal {
         /// A caller that no server had room for may come back after this time.
         const COME_BACK: Duration = Duration::from_millis(250);
         let cause = match cause {
-            cause if self.in_doubt && promises_not_run(cause.status()) => Cause::Broken,
+            cause if self.in_doubt && promises_not_run(cause.status()) => RefusalCause::Broken,
             cause => cause,
         };
         if promises_not_run(cause.status()) {
-            Refusal::retry(cause, COME_BACK.mul_f64(1.0 + self.cx.draw()))
+            Refusal::retry(cause, COME_BACK.mul_f64(1.0 + self.cx.random_unit()))
         } else {
             Refusal::of(cause)
         }
@@ -245,11 +245,12 @@
         };
         let address: Name = server.address.to_string().into();
         let connect = Duration::from_millis(self.cx.settings.connect_timeout_ms).min(self.left());
-        let mut connection = match self.cx.pool.connect_within(&address, max_idle, connect).await {
-            Ok(connection) => connection,
-            Err(err) => return self.not_connected(picked, &err),
-        };
-        let flight = Flight::begin(self, picked);
+        let mut connection =
+            match self.cx.request_pool.connect_within(&address, max_idle, connect).await {
+                Ok(connection) => connection,
+                Err(err) => return self.not_connected(picked, &err),
+            };
+        let flight = InFlightRequest::begin(self, picked);
         self.tried.push(server.id.clone());
         let sent_at = self.cx.now();
         let req = self.request(picked, resume_after);
@@ -264,7 +265,7 @@
                 let (parts, body) = answer.into_parts();
                 let kind = answer_kind(parts.status, &parts.headers, &self.head.id);
                 let (status, headers) = (parts.status, parts.headers);
-                self.cx.boards.lock().health.heard(&server.id, self.cx.now());
+                self.cx.routing.lock().health.heard(&server.id, self.cx.now());
                 let first = match first {
                     First::Data(data) => Some(data),
                     First::None | First::Broken => None,
@@ -342,7 +343,7 @@
             if let Ok(answer) = tokio::time::timeout(stall, answer.as_mut()).await {
                 return Some(answer);
             }
-            let heard = self.cx.boards.lock().health.was_heard_since(&picked.server.id, sent_at);
+            let heard = self.cx.routing.lock().health.was_heard_since(&picked.server.id, sent_at);
             if !heard && self.has_alternative() {
                 return None;
             }
@@ -384,13 +385,13 @@
     /// Notes that the last server sent something.
     pub(super) fn note_heard(&self) {
         if let Some(server) = &self.last_server {
-            self.cx.boards.lock().health.heard(server, self.cx.now());
+            self.cx.routing.lock().health.heard(server, self.cx.now());
         }
     }
 
     pub(super) fn note(&self, server: &Name, outcome: ServerOutcome) {
         let now = self.cx.now();
-        self.cx.boards.lock().health.note(server, outcome, now);
+        self.cx.routing.lock().health.note(server, outcome, now);
     }
 }
 
--- a/savoryport/src/node/boards.rs
+++ b/savoryport/src/node/routing_state.rs
@@ -21,7 +21,7 @@
 
 /// The boards of a node.
 #[derive(Debug)]
-pub struct Boards {
+pub struct RoutingState {
     /// What runs where.
     pub loads: LoadBoard,
     /// Which prefixes are cached where.
@@ -31,43 +31,43 @@
     /// How fast models and servers are.
     pub speeds: Speeds,
     /// Repeats that are left.
-    pub budget: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// Requests under way by copy.
     pub copies: HashMap<CopyKey, u32>,
     /// Work by model since the last sync, in milliseconds.
     pub work_ms: HashMap<Name, f64>,
     /// Prompts sent since the last sync.
-    pub prompts: Vec<PromptRecord>,
+    pub new_prompts: Vec<PromptRecord>,
     costs: SelectionCosts,
 }
 
-/// Boards shared by the tasks of a node.
+/// RoutingState shared by the tasks of a node.
 #[derive(Debug)]
-pub struct SharedBoards(Mutex<Boards>);
+pub struct SharedRoutingState(Mutex<RoutingState>);
 
-impl SharedBoards {
+impl SharedRoutingState {
     /// Starts with empty boards.
     pub fn new(bound: RetryBound, nodes: usize, costs: SelectionCosts) -> Self {
-        Self(Mutex::new(Boards {
+        Self(Mutex::new(RoutingState {
             loads: LoadBoard::default(),
             prefixes: PrefixMap::default(),
             health: HealthBoard::default(),
             speeds: Speeds::default(),
-            budget: RetryBudget::new(bound, nodes),
+            retry_budget: RetryBudget::new(bound, nodes),
             copies: HashMap::new(),
             work_ms: HashMap::new(),
-            prompts: Vec::new(),
+            new_prompts: Vec::new(),
             costs,
         }))
     }
 
     /// Locks the boards for a moment.
-    pub fn lock(&self) -> MutexGuard<'_, Boards> {
+    pub fn lock(&self) -> MutexGuard<'_, RoutingState> {
         self.0.lock().expect("no holder panics")
     }
 }
 
-impl Boards {
+impl RoutingState {
     /// Returns what a choice needs.
     pub fn selection(&self, now: Instant) -> SelectionContext<'_> {
         SelectionContext {
@@ -84,8 +84,8 @@
     pub fn record_prompt(&mut self, record: PromptRecord, cache_tokens: u64, now: Instant) {
         let PromptRecord { server, incarnation, keys } = &record;
         self.prefixes.record(server, *incarnation, keys, cache_tokens, now);
-        if self.prompts.len() < MAX_PROMPTS {
-            self.prompts.push(record);
+        if self.new_prompts.len() < MAX_PROMPTS {
+            self.new_prompts.push(record);
         }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Forgets the servers that `keep` rejects.
-    pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
+    pub fn retain_servers(&mut self, keep: impl Fn(&str) -> bool) {
         self.prefixes.retain(&keep);
         self.health.retain(&keep);
         self.speeds.retain(&keep);
--- a/savoryport/src/node/status.rs
+++ b/savoryport/src/node/status.rs
@@ -3,12 +3,12 @@
 use serde_json::{Value, json};
 
 use super::context::NodeContext;
-use super::desk::Desk;
+use super::domain_controller::DomainController;
 
 /// Returns the node's beliefs: the configuration, members, duties, servers and orders under way.
 pub fn status(cx: &NodeContext) -> Value {
     let view = cx.fleet.view();
-    let boards = cx.boards.lock();
+    let routing = cx.routing.lock();
     let servers: Vec<Value> = view
         .servers
         .values()
@@ -18,33 +18,33 @@
                 .iter()
                 .map(|model| format!("{} ({} adapters)", model.name, model.adapters.len()))
                 .collect();
-            let load = boards.loads.total(&server.id);
+            let load = routing.loads.total(&server.id);
             json!({
                 "server": server.id, "service": server.service,
                 "failure_domain": server.failure_domain, "ready": server.is_ready(),
                 "models": models, "requests": load.running,
                 "prefill_ms": load.prefill_ms.iter().sum::<f32>(),
-                "failure_rate": boards.health.failure_rate(&server.id),
-                "slowness": boards.speeds.slowness(&server.id),
+                "failure_rate": routing.health.failure_rate(&server.id),
+                "slowness": routing.speeds.slowness(&server.id),
             })
         })
         .collect();
-    drop(boards);
+    drop(routing);
     let members: Vec<&str> = view.members.iter().map(|member| &*member.vm).collect();
     json!({
         "vm": cx.settings.vm,
         "failure_domain": cx.settings.failure_domain,
         "config": view.version(),
-        "store_answers": cx.store_contact.is_good(cx.now()),
+        "store_answers": cx.store_health.is_available(cx.now()),
         "members": members,
-        "holders": view.holders,
+        "holders": view.leaders,
         "servers": servers,
-        "duties": cx.desks.all().iter().map(|desk| duty(cx, desk)).collect::<Vec<_>>(),
+        "duties": cx.controllers.all().iter().map(|controller| duty(cx, controller)).collect::<Vec<_>>(),
     })
 }
 
-fn duty(cx: &NodeContext, desk: &Desk) -> Value {
-    let engines = desk.engines().into_iter().map(|(server, ledger, moving)| {
+fn duty(cx: &NodeContext, controller: &DomainController) -> Value {
+    let engines = controller.engine_states().into_iter().map(|(server, ledger, moving)| {
         json!({
             "server": server,
             "models": ledger.models().collect::<Vec<_>>(),
@@ -54,8 +54,8 @@
         })
     });
     json!({
-        "failure_domain": desk.domain,
-        "may_order": desk.may_order(cx).is_some(),
+        "failure_domain": controller.domain,
+        "may_order": controller.active_token(cx).is_some(),
         "engines": engines.collect::<Vec<_>>(),
     })
 }
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -12,10 +12,10 @@
 use savoryport_core::node::health::ServerOutcome;
 use tokio::sync::mpsc;
 
-use super::answer::{Body, BrokenOff};
-use super::dispatch::Picked;
-use super::events::EventCutter;
-use super::relay::{Opened, Relay};
+use super::event_splitter::EventSplitter;
+use super::proxy::{Opened, ProxyRequest};
+use super::response::{Body, BrokenOff};
+use super::server_selection::Picked;
 
 /// Pieces that wait for a caller who reads slowly.
 const CALLER_BUFFER: usize = 16;
@@ -39,16 +39,16 @@
 
 /// One stream on its way to the caller.
 struct Forwarder {
-    relay: Relay,
+    relay: ProxyRequest,
     pieces: mpsc::Sender<Result<Frame<Bytes>, BrokenOff>>,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     is_resumable: bool,
     /// The last event that was passed on.
     last_event: Option<u64>,
 }
 
 /// Answers with the head of the first server's stream, and passes its events on in a task.
-pub(super) fn forward(relay: Relay, opened: Opened, picked: Picked) -> Response<Body> {
+pub(super) fn forward(relay: ProxyRequest, opened: Opened, picked: Picked) -> Response<Body> {
     let (pieces, rx) = mpsc::channel(CALLER_BUFFER);
     let mut headers = opened.headers.clone();
     strip_connection_headers(&mut headers);
@@ -59,11 +59,11 @@
     let forwarder = Forwarder {
         is_resumable: relay.route.kind == RequestKind::Stream { resumable: true },
         last_event: relay.head.last_event,
-        cutter: EventCutter::default(),
+        cutter: EventSplitter::default(),
         pieces,
         relay,
     };
-    let serving = forwarder.relay.cx.serving.clone();
+    let serving = forwarder.relay.cx.caller_tasks.clone();
     serving.spawn(forwarder.run(opened, picked));
     answer
 }
@@ -84,7 +84,7 @@
                     let Opened { connection, headers, flight, .. } = opened;
                     drop(flight);
                     self.relay.note(&picked.server.id, ServerOutcome::Answered);
-                    self.relay.cx.pool.keep(connection, keep_alive(&headers));
+                    self.relay.cx.request_pool.keep(connection, keep_alive(&headers));
                     return self.relay.log_end("streamed", status, None);
                 }
                 End::CallerLeft => return self.relay.log_end("caller-left", status, None),
@@ -111,7 +111,7 @@
         if !self.may_resume() {
             return None;
         }
-        self.cutter = EventCutter::default();
+        self.cutter = EventSplitter::default();
         while self.may_resume() && !self.relay.left().is_zero() {
             let picked = tokio::select! {
                 picked = self.relay.pick() => picked,
@@ -186,7 +186,7 @@
     fn should_leave(&self, opened: &Opened) -> bool {
         let cx = &self.relay.cx;
         let since = cx.now() - MAX_GAP;
-        let heard = cx.boards.lock().health.was_heard_since(opened.flight.server(), since);
+        let heard = cx.routing.lock().health.was_heard_since(opened.flight.server(), since);
         !heard && self.may_resume() && self.relay.has_alternative()
     }
 
@@ -222,10 +222,10 @@
     }
 
     async fn finish(&mut self) -> End {
-        if !self.cutter.has_rest() {
+        if !self.cutter.has_partial_event() {
             return End::Whole;
         }
-        let rest = self.cutter.take_rest();
+        let rest = self.cutter.take_partial_event();
         self.send(rest).await.unwrap_or(End::Whole)
     }
 
