--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -295,7 +295,7 @@
         let answer =
             engine::order(&self.cx.order_pool, &server, order, authority, ORDER_TIMEOUT).await;
         self.ledger().apply_answer(order, answer, busy_for, self.cx.now());
-        self.cx.metrics.note_order(order.name(), answer);
+        self.cx.metrics.record_order(order.name(), answer);
         log::info!(
             server = &*self.server, order = order.name(), model = &**order.model(),
             expected_orders = expected, token = token, answer:? = answer; "order"
--- a/savoryport/src/node/metrics.rs
+++ b/savoryport/src/node/metrics.rs
@@ -92,7 +92,7 @@
 
 impl NodeMetrics {
     /// Counts an ended request.
-    pub fn note_end(&self, route: &Route, outcome: &str, elapsed: Duration) {
+    pub fn record_request_end(&self, route: &Route, outcome: &str, elapsed: Duration) {
         let labels = EndLabels { rank: route.rank, outcome: outcome.to_owned() };
         self.requests.get_or_create(&labels).inc();
         let rank = RankLabels { rank: route.rank };
@@ -100,12 +100,12 @@
     }
 
     /// Counts a request without an answer of a server.
-    pub fn note_refusal(&self, cause: RefusalCause) {
+    pub fn record_refusal(&self, cause: RefusalCause) {
         self.refusals.get_or_create(&CauseLabels { cause: cause.name() }).inc();
     }
 
     /// Counts an order.
-    pub fn note_order(&self, order: &'static str, answer: OrderAnswer) {
+    pub fn record_order(&self, order: &'static str, answer: OrderAnswer) {
         let answer = match answer {
             OrderAnswer::Accepted => "accepted",
             OrderAnswer::AlreadyHolds => "already-holds",
--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -112,7 +112,7 @@
     match ProxyRequest::begin(cx.clone(), req, arrived).await {
         Ok(relay) => relay.run().await,
         Err(refusal) => {
-            cx.metrics.note_refusal(refusal.cause);
+            cx.metrics.record_refusal(refusal.cause);
             refusal.answer()
         }
     }
@@ -190,7 +190,7 @@
             cause if self.in_doubt => self.refusal(cause),
             _ => refusal,
         };
-        self.cx.metrics.note_refusal(refusal.cause);
+        self.cx.metrics.record_refusal(refusal.cause);
         self.log_end(refusal.cause.name(), refusal.cause.status().as_u16(), refusal.retry_after);
         refusal.answer()
     }
@@ -199,7 +199,7 @@
     pub(super) fn log_end(&self, outcome: &str, status: u16, retry_after: Option<Duration>) {
         let model = self.head.generation.as_ref().map_or("", |asked| &asked.model);
         let elapsed = self.cx.now() - self.arrived;
-        self.cx.metrics.note_end(&self.route, outcome, elapsed);
+        self.cx.metrics.record_request_end(&self.route, outcome, elapsed);
         log::info!(
             request = &*self.head.id, route = &*self.route.name, rank = self.route.rank,
             model = model, server = self.last_server.as_deref().unwrap_or(""),
