--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -232,7 +232,7 @@
             let Some((server, _)) = self.target() else { return false };
             match engine::report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await {
                 Ok(report) => {
-                    self.cx.metrics.reports.inc();
+                    self.cx.metrics.engine_reports.inc();
                     self.ledger().apply_report(&report, self.cx.now());
                     self.publish();
                 }
@@ -433,7 +433,7 @@
         let Ok(report) = engine::report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await else {
             return;
         };
-        self.cx.metrics.reports.inc();
+        self.cx.metrics.engine_reports.inc();
         let is_done = !report.is_busy && report.models.contains_key(&model);
         let restarted = report.incarnation != self.ledger().incarnation();
         if is_done || overdue || restarted {
--- a/savoryport/src/node/metrics.rs
+++ b/savoryport/src/node/metrics.rs
@@ -56,13 +56,13 @@
     /// Answers of servers that did not run the request.
     pub not_run: Counter,
     /// Streams that went on at another server.
-    pub resumed: Counter,
+    pub resumed_streams: Counter,
     /// Orders to engines.
     pub orders: Family<OrderLabels, Counter>,
     /// Moves of models that were decided.
-    pub loads: Counter,
+    pub model_moves: Counter,
     /// Reports read from engines.
-    pub reports: Counter,
+    pub engine_reports: Counter,
     /// Calls of the store.
     pub store_calls: Counter,
     /// Calls of the store that failed.
@@ -80,10 +80,10 @@
             duration: Family::new_with_constructor(seconds as fn() -> Histogram),
             refusals: Family::default(),
             not_run: Counter::default(),
-            resumed: Counter::default(),
+            resumed_streams: Counter::default(),
             orders: Family::default(),
-            loads: Counter::default(),
-            reports: Counter::default(),
+            model_moves: Counter::default(),
+            engine_reports: Counter::default(),
             store_calls: Counter::default(),
             store_failures: Counter::default(),
         }
@@ -127,10 +127,18 @@
         );
         registry.register("refusals", "Requests without a server's answer", self.refusals.clone());
         registry.register("not_run", "Refusals by servers", self.not_run.clone());
-        registry.register("resumed_streams", "Streams resumed elsewhere", self.resumed.clone());
+        registry.register(
+            "resumed_streams",
+            "Streams resumed elsewhere",
+            self.resumed_streams.clone(),
+        );
         registry.register("orders", "Orders to engines", self.orders.clone());
-        registry.register("model_moves", "Moves of models decided", self.loads.clone());
-        registry.register("engine_reports", "Reports read from engines", self.reports.clone());
+        registry.register("model_moves", "Moves of models decided", self.model_moves.clone());
+        registry.register(
+            "engine_reports",
+            "Reports read from engines",
+            self.engine_reports.clone(),
+        );
         registry.register("store_calls", "Calls of the store", self.store_calls.clone());
         registry.register(
             "store_failures",
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -111,7 +111,7 @@
         let chosen = planner.choose(cx, controller, &needs);
         let Some(chosen) = chosen else { return };
         planner.note(&chosen, now);
-        cx.metrics.loads.inc();
+        cx.metrics.model_moves.inc();
         log::info!(
             server = &*chosen.server, model = &*chosen.load, source:? = chosen.source,
             unload:? = chosen.unload, value = chosen.value; "move decided"
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -131,7 +131,7 @@
                 request = &*self.relay.head.id, server = &*picked.server.id,
                 after = self.last_event.unwrap_or(0); "stream goes on elsewhere"
             );
-            self.relay.cx.metrics.resumed.inc();
+            self.relay.cx.metrics.resumed_streams.inc();
             let reopened = self.relay.reopen(&picked, self.last_event);
             let opened = tokio::select! {
                 opened = reopened => opened,
