--- a/savoryport/src/node/fleet.rs
+++ b/savoryport/src/node/fleet.rs
@@ -10,7 +10,7 @@
 use savoryport_core::node::registry::{BackendServer, Registry, ResidentModel};
 use tokio::sync::watch;
 
-use super::rpc::{Position, SyncReply};
+use super::rpc::{SyncPosition, SyncReply};
 use super::view::{AcceptedConfig, DomainLeader, FleetView, Member};
 
 /// A follower that has not told anything for this long is not named to callers any more.
@@ -244,7 +244,13 @@
 
     /// Fills a reply with what a follower at `have` lacks. With a domain only its servers and members
     /// are told.
-    pub fn fill(&self, have: Position, tenure: u64, domain: Option<&str>, reply: &mut SyncReply) {
+    pub fn fill(
+        &self,
+        have: SyncPosition,
+        tenure: u64,
+        domain: Option<&str>,
+        reply: &mut SyncReply,
+    ) {
         let is_known = have.tenure == tenure && have.servers >= self.removals_from;
         let since = if is_known { have.servers } else { 0 };
         let concerns =
@@ -271,7 +277,7 @@
                 self.leaders.iter().map(|(domain, leader)| (domain.clone(), leader.clone()));
             reply.members = Some((members, leaders.collect()));
         }
-        reply.position = Position {
+        reply.position = SyncPosition {
             tenure,
             servers: self.servers_revision,
             members: self.members_revision,
--- a/savoryport/src/node/peer_server.rs
+++ b/savoryport/src/node/peer_server.rs
@@ -15,7 +15,7 @@
 use super::context::NodeContext;
 use super::prompt_log::PromptLog;
 use super::rpc::{
-    CopyUse, MAX_MESSAGE_BYTES, Peer, Position, PromptRecord, Role, SyncReply, SyncRequest,
+    CopyUse, MAX_MESSAGE_BYTES, Peer, PromptRecord, Role, SyncPosition, SyncReply, SyncRequest,
     WishReply,
 };
 
@@ -202,7 +202,7 @@
             Role::Holder => cx.peer_reports.lock().prompts.shared_prefixes_since(0),
         };
         let mut reply = SyncReply {
-            position: Position::default(),
+            position: SyncPosition::default(),
             is_holder: cx.controllers.leads(&cx.settings.failure_domain)
                 && cx.store_health.is_available(now),
             is_full: false,
--- a/savoryport/src/node/rpc.rs
+++ b/savoryport/src/node/rpc.rs
@@ -31,7 +31,7 @@
 
 /// What the asking node has of the answering one's state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Position {
+pub struct SyncPosition {
     /// The tenure of the duty holder that the other numbers belong to.
     pub tenure: u64,
     /// The last change of servers.
@@ -85,7 +85,7 @@
     /// Whether it is stopping and takes no more callers.
     pub is_leaving: bool,
     /// What it has.
-    pub have: Position,
+    pub have: SyncPosition,
     /// What it, or its whole failure domain, has under way by server.
     pub loads: Vec<(Name, ServerLoad)>,
     /// Milliseconds of work by model that arrived since the last call.
@@ -105,7 +105,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SyncReply {
     /// Where the asking node stands after this answer.
-    pub position: Position,
+    pub position: SyncPosition,
     /// Whether the answering node holds the duty and hears from the store.
     pub is_holder: bool,
     /// Whether the servers are all there are, not changes.
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -12,7 +12,7 @@
 
 use super::context::NodeContext;
 use super::peer_server::{add_loads, note_prompts};
-use super::rpc::{PeerError, Position, Role, SyncReply, SyncRequest};
+use super::rpc::{PeerError, Role, SyncPosition, SyncReply, SyncRequest};
 use super::store_reader::accept_config;
 use super::view::{AcceptedConfig, DomainLeader};
 
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 struct Following {
     leader: Option<DomainLeader>,
-    have: Position,
+    have: SyncPosition,
     failures: u32,
     /// Whether a newer configuration is being fetched.
     fetching: Arc<AtomicBool>,
@@ -115,7 +115,7 @@
         member: cx.member.clone(),
         role: Role::Follower,
         is_leaving: cx.stopping.is_cancelled(),
-        have: Position { config: cx.fleet.view().version(), ..following.have },
+        have: SyncPosition { config: cx.fleet.view().version(), ..following.have },
         loads: routing.loads.own().iter().map(|(server, load)| (server.clone(), *load)).collect(),
         work_ms: routing.work_ms.drain().collect(),
         demand: Vec::new(),
@@ -177,7 +177,7 @@
 
 /// Exchanges sums and news with the holders of other failure domains while this node is a holder.
 pub async fn exchange(cx: Arc<NodeContext>) {
-    let mut positions: HashMap<Name, Position> = HashMap::new();
+    let mut positions: HashMap<Name, SyncPosition> = HashMap::new();
     let period = Duration::from_millis(cx.settings.exchange_period_ms);
     loop {
         tokio::time::sleep(period).await;
@@ -237,8 +237,8 @@
     cx: &Arc<NodeContext>,
     domain: &Name,
     leader: &DomainLeader,
-    have: Position,
-) -> Option<Position> {
+    have: SyncPosition,
+) -> Option<SyncPosition> {
     let now = cx.now();
     let mut loads: HashMap<Name, ServerLoad> = cx.peer_reports.loads_but(None, false, now);
     add_loads(&mut loads, cx.routing.lock().loads.own());
@@ -246,7 +246,7 @@
         member: cx.member.clone(),
         role: Role::Holder,
         is_leaving: false,
-        have: Position { config: cx.fleet.view().version(), ..have },
+        have: SyncPosition { config: cx.fleet.view().version(), ..have },
         loads: loads.into_iter().collect(),
         work_ms: Vec::new(),
         demand: if cx.settings.is_near(domain) { cx.controllers.demand(cx) } else { Vec::new() },
