--- a/savoryport/src/node/domain_controller.rs
+++ b/savoryport/src/node/domain_controller.rs
@@ -16,7 +16,7 @@
 use super::context::NodeContext;
 use super::engine::{Command, EngineHandle};
 use super::planner::{Planner, plan};
-use super::rpc::WishReply;
+use super::rpc::Availability;
 
 /// The time that an adapter may take before a request looks elsewhere.
 const ADAPTER_PATIENCE: Duration = Duration::from_millis(400);
@@ -86,22 +86,22 @@
         server: &Name,
         model: &Name,
         adapter: &Name,
-    ) -> WishReply {
+    ) -> Availability {
         let domain = cx.fleet.view().servers.get(server).map(|known| known.failure_domain.clone());
         let controller = domain
             .and_then(|domain| self.0.lock().expect("no holder panics").get(&domain).cloned());
         let Some(controller) =
             controller.filter(|controller| controller.active_token(cx).is_some())
         else {
-            return WishReply::Unavailable;
+            return Availability::Unavailable;
         };
-        let Some(engine) = controller.engine(server) else { return WishReply::Unavailable };
+        let Some(engine) = controller.engine(server) else { return Availability::Unavailable };
         let (reply, answer) = oneshot::channel();
         let (model, adapter) = (model.clone(), adapter.clone());
         engine.send(Command::Adapter { model, adapter, reply });
         match tokio::time::timeout(ADAPTER_PATIENCE, answer).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) | Err(_) => WishReply::Unavailable,
+            Ok(Err(_)) | Err(_) => Availability::Unavailable,
         }
     }
 
@@ -121,16 +121,16 @@
         service: &str,
         model: &Name,
         domain: &Name,
-    ) -> WishReply {
+    ) -> Availability {
         let view = cx.fleet.view();
         let Some(spec) = view.deployment().and_then(|known| known.model(service, model)) else {
-            return WishReply::Unavailable;
+            return Availability::Unavailable;
         };
         let controller = self.0.lock().expect("no holder panics").get(domain).cloned();
         let Some(controller) =
             controller.filter(|controller| controller.active_token(cx).is_some())
         else {
-            return WishReply::Unavailable;
+            return Availability::Unavailable;
         };
         controller.planner.lock().expect("no holder panics").wishes.insert(model.clone(), cx.now());
         let sources = view
@@ -139,7 +139,7 @@
             .filter(|server| server.failure_domain == *domain && server.is_ready())
             .map(|server| weight_source(server, model));
         let source = sources.min().unwrap_or(WeightSource::Store);
-        WishReply::Loading(load_time(spec, source).as_millis() as u64)
+        Availability::Loading(load_time(spec, source).as_millis() as u64)
     }
 }
 
--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -15,7 +15,7 @@
 use super::context::NodeContext;
 use super::domain_controller::DomainController;
 use super::fleet::Residency;
-use super::rpc::WishReply;
+use super::rpc::Availability;
 
 /// The time for one report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
@@ -59,7 +59,7 @@
         /// The adapter.
         adapter: Name,
         /// Where the outcome goes.
-        reply: oneshot::Sender<WishReply>,
+        reply: oneshot::Sender<Availability>,
     },
     /// Drop some models and load another.
     Move(Move),
@@ -307,7 +307,7 @@
         &mut self,
         model: &Name,
         adapter: &Name,
-        reply: oneshot::Sender<WishReply>,
+        reply: oneshot::Sender<Availability>,
     ) {
         let outcome = self.try_adapter(model, adapter).await;
         let key = (model.clone(), adapter.clone());
@@ -315,7 +315,7 @@
         let (cx, server, ledger) = (self.cx.clone(), self.server.clone(), self.ledger.clone());
         // The answer waits for the adapter, the next order does not.
         let wait = ready_at.map(|at| at.saturating_duration_since(cx.now()));
-        if outcome != WishReply::Ready || wait.is_none_or(|wait| wait.is_zero()) {
+        if outcome != Availability::Ready || wait.is_none_or(|wait| wait.is_zero()) {
             self.publish();
             let _ = reply.send(outcome);
             return;
@@ -327,38 +327,38 @@
         });
     }
 
-    async fn try_adapter(&mut self, model: &Name, adapter: &Name) -> WishReply {
+    async fn try_adapter(&mut self, model: &Name, adapter: &Name) -> Availability {
         let order = Order::LoadAdapter { model: model.clone(), adapter: adapter.clone() };
         for _ in 0..MAX_ADAPTER_TRIES {
             if self.ledger().holds_adapter(model, adapter) {
-                return WishReply::Ready;
+                return Availability::Ready;
             }
             if self.loading.is_some() || !self.learn_contents().await {
-                return WishReply::Unavailable;
+                return Availability::Unavailable;
             }
             match self.give(&order, Duration::ZERO).await {
                 Ok(OrderAnswer::Accepted) => {
                     let load = Duration::from_millis(self.cx.settings.adapter_load_ms);
                     let ready_at = self.cx.now() + load;
                     self.arriving.insert((model.clone(), adapter.clone()), ready_at);
-                    return WishReply::Ready;
+                    return Availability::Ready;
                 }
-                Ok(OrderAnswer::AlreadyHolds) => return WishReply::Ready,
-                Ok(OrderAnswer::Rejected) => return WishReply::Unavailable,
+                Ok(OrderAnswer::AlreadyHolds) => return Availability::Ready,
+                Ok(OrderAnswer::Rejected) => return Availability::Unavailable,
                 Ok(OrderAnswer::Conflict | OrderAnswer::Unanswered) => {}
                 Err(OrderError::NoAdapterSlot) => {
                     let Some((model, adapter)) = self.ledger().evictable_adapter(self.cx.now())
                     else {
-                        return WishReply::Unavailable;
+                        return Availability::Unavailable;
                     };
                     if self.drop_adapter(&model, &adapter).await.is_err() {
-                        return WishReply::Unavailable;
+                        return Availability::Unavailable;
                     }
                 }
-                Err(_) => return WishReply::Unavailable,
+                Err(_) => return Availability::Unavailable,
             }
         }
-        WishReply::Unavailable
+        Availability::Unavailable
     }
 
     async fn drop_adapter(&mut self, model: &Name, adapter: &Name) -> Result<(), OrderError> {
--- a/savoryport/src/node/peer_server.rs
+++ b/savoryport/src/node/peer_server.rs
@@ -15,8 +15,8 @@
 use super::context::NodeContext;
 use super::prompt_log::PromptLog;
 use super::rpc::{
-    CopyUse, MAX_MESSAGE_BYTES, Peer, PromptRecord, Role, SyncPosition, SyncReply, SyncRequest,
-    WishReply,
+    Availability, CopyUse, MAX_MESSAGE_BYTES, Peer, PromptRecord, Role, SyncPosition, SyncReply,
+    SyncRequest,
 };
 
 /// What another node told counts for this long.
@@ -233,11 +233,17 @@
         Some(config.packed().to_vec())
     }
 
-    async fn want_adapter(self, _: Context, server: Name, model: Name, adapter: Name) -> WishReply {
+    async fn want_adapter(
+        self,
+        _: Context,
+        server: Name,
+        model: Name,
+        adapter: Name,
+    ) -> Availability {
         self.cx.controllers.ensure_adapter(&self.cx, &server, &model, &adapter).await
     }
 
-    async fn want_model(self, _: Context, service: Name, model: Name) -> WishReply {
+    async fn want_model(self, _: Context, service: Name, model: Name) -> Availability {
         let domain = &self.cx.settings.failure_domain;
         self.cx.controllers.request_model(&self.cx, &service, &model, domain)
     }
--- a/savoryport/src/node/rpc.rs
+++ b/savoryport/src/node/rpc.rs
@@ -124,7 +124,7 @@
 
 /// What a duty holder says to a wish.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum WishReply {
+pub enum Availability {
     /// It is there.
     Ready,
     /// It is being loaded and will be there after so many milliseconds.
@@ -141,9 +141,9 @@
     /// Returns the configuration in force, compressed, if it is newer than this version.
     async fn config(have: u64) -> Option<Vec<u8>>;
     /// Asks for an adapter at a server; the answer comes when it can be used.
-    async fn want_adapter(server: Name, model: Name, adapter: Name) -> WishReply;
+    async fn want_adapter(server: Name, model: Name, adapter: Name) -> Availability;
     /// Asks for a model that no server holds.
-    async fn want_model(service: Name, model: Name) -> WishReply;
+    async fn want_model(service: Name, model: Name) -> Availability;
 }
 
 /// Why another node gave no answer.
@@ -213,7 +213,7 @@
         &self,
         (server, model, adapter): (Name, Name, Name),
         within: Duration,
-    ) -> Result<WishReply, PeerError> {
+    ) -> Result<Availability, PeerError> {
         let reply = self.client.want_adapter(deadline(within), server, model, adapter).await;
         reply.map_err(|err| self.failed(&err))
     }
@@ -227,7 +227,7 @@
         &self,
         (service, model): (Name, Name),
         within: Duration,
-    ) -> Result<WishReply, PeerError> {
+    ) -> Result<Availability, PeerError> {
         let reply = self.client.want_model(deadline(within), service, model).await;
         reply.map_err(|err| self.failed(&err))
     }
--- a/savoryport/src/node/server_selection.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -17,7 +17,7 @@
 use super::planner::domains_with_ready_servers;
 use super::proxy::ProxyRequest;
 use super::response::{Refusal, RefusalCause};
-use super::rpc::WishReply;
+use super::rpc::Availability;
 use super::view::FleetView;
 
 /// The pause between two looks for a server with a place for an adapter.
@@ -272,7 +272,7 @@
         if cx.controllers.leads(&server.failure_domain) {
             let (server, model, adapter) = &wanted;
             return cx.controllers.ensure_adapter(cx, server, model, adapter).await
-                == WishReply::Ready;
+                == Availability::Ready;
         }
         let leader = cx.fleet.read(|state| state.leader(&server.failure_domain).cloned());
         let Some(leader) = leader else { return false };
@@ -281,7 +281,7 @@
             connection.want_adapter(wanted, WISH_TIMEOUT).await
         };
         let within = WISH_TIMEOUT.min(self.left());
-        matches!(tokio::time::timeout(within, wish).await, Ok(Ok(WishReply::Ready)))
+        matches!(tokio::time::timeout(within, wish).await, Ok(Ok(Availability::Ready)))
     }
 
     /// Waits until some server holds the model, if that is soon enough.
@@ -323,9 +323,9 @@
             tokio::time::timeout(within, wish).await.ok()?.ok()?
         };
         match reply {
-            WishReply::Ready => Some(Duration::ZERO),
-            WishReply::Loading(ms) => Some(Duration::from_millis(ms)),
-            WishReply::Unavailable => None,
+            Availability::Ready => Some(Duration::ZERO),
+            Availability::Loading(ms) => Some(Duration::from_millis(ms)),
+            Availability::Unavailable => None,
         }
     }
 }
