--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -14,8 +14,8 @@
 use super::domain_controller::DomainControllers;
 use super::fleet::Fleet;
 use super::metrics::NodeMetrics;
+use super::peer_connections::PeerConnections;
 use super::peer_server::PeerReports;
-use super::peers::Peers;
 use super::routing_state::SharedRoutingState;
 use super::rpc::CopyUse;
 use super::settings::NodeSettings;
@@ -49,7 +49,7 @@
     /// A number that differs between starts of the process.
     pub tenure: u64,
     /// Connections to other nodes.
-    pub peers: Peers,
+    pub peers: PeerConnections,
     /// Duties that this node holds.
     pub controllers: DomainControllers,
     /// Counters and histograms.
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -15,8 +15,8 @@
 mod in_flight;
 mod leadership;
 mod metrics;
+mod peer_connections;
 mod peer_server;
-mod peers;
 mod planner;
 pub mod prompt_log;
 mod proxy;
@@ -55,8 +55,8 @@
 use self::domain_controller::DomainControllers;
 use self::fleet::Fleet;
 use self::metrics::NodeMetrics;
+use self::peer_connections::PeerConnections;
 use self::peer_server::PeerReports;
-use self::peers::Peers;
 use self::routing_state::SharedRoutingState;
 use self::settings::NodeSettings;
 use self::store_reader::StoreHealth;
@@ -161,7 +161,7 @@
         store_health: StoreHealth::default(),
         tenure: tenure.max(1),
         member,
-        peers: Peers::default(),
+        peers: PeerConnections::default(),
         controllers: DomainControllers::default(),
         metrics: NodeMetrics::default(),
         stopping,
--- a/savoryport/src/node/peers.rs
+++ b/savoryport/src/node/peer_connections.rs
@@ -8,15 +8,15 @@
 
 /// Open connections by address.
 #[derive(Debug, Default)]
-pub struct Peers(Mutex<HashMap<SocketAddr, PeerConnection>>);
+pub struct PeerConnections(Mutex<HashMap<SocketAddr, PeerConnection>>);
 
-impl Peers {
+impl PeerConnections {
     /// Returns a connection, opening one if none is open.
     ///
     /// # Errors
     ///
     /// Returns an error where nobody answers at the address.
-    pub async fn get(&self, address: SocketAddr) -> Result<PeerConnection, PeerError> {
+    pub async fn get_or_connect(&self, address: SocketAddr) -> Result<PeerConnection, PeerError> {
         if let Some(open) = self.0.lock().expect("no holder panics").get(&address) {
             return Ok(open.clone());
         }
@@ -26,7 +26,7 @@
     }
 
     /// Drops a connection that gave no answer.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn remove(&self, address: SocketAddr) {
         self.0.lock().expect("no holder panics").remove(&address);
     }
 }
--- a/savoryport/src/node/server_selection.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -277,7 +277,7 @@
         let leader = cx.fleet.read(|state| state.leader(&server.failure_domain).cloned());
         let Some(leader) = leader else { return false };
         let wish = async {
-            let connection = cx.peers.get(leader.peers).await?;
+            let connection = cx.peers.get_or_connect(leader.peers).await?;
             connection.want_adapter(wanted, WISH_TIMEOUT).await
         };
         let within = WISH_TIMEOUT.min(self.left());
@@ -316,7 +316,7 @@
         } else {
             let leader = cx.fleet.read(|state| state.leader(domain).cloned())?;
             let wish = async {
-                let connection = cx.peers.get(leader.peers).await?;
+                let connection = cx.peers.get_or_connect(leader.peers).await?;
                 connection.want_model((self.service.clone(), model.clone()), WISH_TIMEOUT).await
             };
             let within = WISH_TIMEOUT.min(self.left());
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -89,7 +89,7 @@
             if following.failures == LOST_AFTER {
                 log::warn!(holder = &*leader.vm, err:% = err; "holder lost");
             }
-            cx.peers.forget(leader.peers);
+            cx.peers.remove(leader.peers);
             following.failures >= LOST_AFTER
         }
     }
@@ -102,7 +102,7 @@
 ) -> Result<SyncReply, PeerError> {
     let req = request(cx, following);
     let exchange = async {
-        let connection = cx.peers.get(leader.peers).await?;
+        let connection = cx.peers.get_or_connect(leader.peers).await?;
         connection.sync(req, FOLLOW_TIMEOUT).await
     };
     let timed_out = || PeerError { address: leader.peers, problem: "no answer in time".to_owned() };
@@ -225,7 +225,7 @@
 
 async fn try_fetch_config(cx: &NodeContext, address: SocketAddr) -> Result<(), PeerError> {
     let failed = |problem: String| PeerError { address, problem };
-    let connection = cx.peers.get(address).await?;
+    let connection = cx.peers.get_or_connect(address).await?;
     let have = cx.fleet.view().version();
     let Some(packed) = connection.config(have, CONFIG_TIMEOUT).await? else { return Ok(()) };
     let raw = AcceptedConfig::unpack(&packed).map_err(|err| failed(err.to_string()))?;
@@ -254,13 +254,13 @@
         prompts: Vec::new(),
     };
     let exchange = async {
-        let connection = cx.peers.get(leader.peers).await?;
+        let connection = cx.peers.get_or_connect(leader.peers).await?;
         connection.sync(req, EXCHANGE_TIMEOUT).await
     };
     let reply = match tokio::time::timeout(EXCHANGE_TIMEOUT, exchange).await {
         Ok(Ok(reply)) => reply,
         Ok(Err(_)) | Err(_) => {
-            cx.peers.forget(leader.peers);
+            cx.peers.remove(leader.peers);
             cx.fleet.update(|state| state.clear_residency(domain));
             return None;
         }
