--- a/savoryport/src/node/leadership.rs
+++ b/savoryport/src/node/leadership.rs
@@ -91,7 +91,7 @@
 
     async fn try_take(&mut self, cx: &Arc<NodeContext>, domain: &Name) {
         let asked_at = cx.lease_clock.now();
-        let time_to_live = cx.settings.duty_lease();
+        let time_to_live = cx.settings.leadership_lease_ttl();
         cx.metrics.store_calls.inc();
         let lease = match cx.store.grant(time_to_live).await {
             Ok(lease) => lease,
@@ -138,7 +138,7 @@
 
 /// Renews the lease of a desk until it ends, then closes the desk.
 async fn keep(cx: Arc<NodeContext>, controller: Arc<DomainController>) {
-    let pause = cx.settings.duty_lease() / RENEWALS_PER_LEASE;
+    let pause = cx.settings.leadership_lease_ttl() / RENEWALS_PER_LEASE;
     loop {
         tokio::time::sleep(pause).await;
         if controller.cancel.is_cancelled() {
--- a/savoryport/src/node/settings.rs
+++ b/savoryport/src/node/settings.rs
@@ -228,7 +228,7 @@
     }
 
     /// Returns whether a failure domain is in this VM's region.
-    pub fn is_near(&self, failure_domain: &str) -> bool {
+    pub fn is_in_own_region(&self, failure_domain: &str) -> bool {
         self.region_of(failure_domain) == Some(&self.region)
     }
 
@@ -239,7 +239,7 @@
 
     /// Returns the time to live of the duty's lease. It is as short as the store allows with room for
     /// lost renewals, since nobody gives orders between a holder's end and its lapse.
-    pub fn duty_lease(&self) -> Duration {
+    pub fn leadership_lease_ttl(&self) -> Duration {
         Duration::from_millis((self.min_lease_ms * 2).max(1_000))
     }
 
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -249,7 +249,11 @@
         have: SyncPosition { config: cx.fleet.view().version(), ..have },
         loads: loads.into_iter().collect(),
         work_ms: Vec::new(),
-        demand: if cx.settings.is_near(domain) { cx.controllers.demand(cx) } else { Vec::new() },
+        demand: if cx.settings.is_in_own_region(domain) {
+            cx.controllers.demand(cx)
+        } else {
+            Vec::new()
+        },
         copies: cx.copies_in_domain(domain),
         prompts: Vec::new(),
     };
