--- a/savoryport/src/bin/node.rs
+++ b/savoryport/src/bin/node.rs
@@ -32,7 +32,7 @@
         Err(err) => return fail(&err.to_string()),
     };
     savoryport::logging::start_json(&checked.settings.log_level);
-    for key in checked.unknown {
+    for key in checked.unknown_keys {
         log::warn!(key = key.as_str(); "unknown key in the settings");
     }
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
--- a/savoryport/src/node/settings.rs
+++ b/savoryport/src/node/settings.rs
@@ -138,7 +138,7 @@
     Malformed(String),
     /// Fields have values that they may not have, one a line.
     #[error("{}", .0.join("\n"))]
-    Fields(Vec<String>),
+    InvalidFields(Vec<String>),
 }
 
 /// Settings that passed their checks.
@@ -147,7 +147,7 @@
     /// The settings.
     pub settings: NodeSettings,
     /// Keys that no setting has.
-    pub unknown: Vec<String>,
+    pub unknown_keys: Vec<String>,
 }
 
 impl NodeSettings {
@@ -174,10 +174,10 @@
             .map_err(|err| NodeSettingsError::Malformed(err.to_string()))?;
         let defaults = serde_json::to_value(Self::default()).expect("plain fields serialize");
         let mut merged = defaults.as_object().cloned().unwrap_or_default();
-        let (mut unknown, mut problems) = (Vec::new(), Vec::new());
+        let (mut unknown_keys, mut problems) = (Vec::new(), Vec::new());
         for (key, value) in given {
             let Some(default) = merged.get(&key).cloned() else {
-                unknown.push(key);
+                unknown_keys.push(key);
                 continue;
             };
             merged.insert(key.clone(), value.clone());
@@ -191,9 +191,9 @@
             .map_err(|err| NodeSettingsError::Malformed(err.to_string()))?;
         problems.extend(settings.problems());
         if problems.is_empty() {
-            Ok(CheckedNodeSettings { settings, unknown })
+            Ok(CheckedNodeSettings { settings, unknown_keys })
         } else {
-            Err(NodeSettingsError::Fields(problems))
+            Err(NodeSettingsError::InvalidFields(problems))
         }
     }
 
--- a/savoryport/tests/node_parts.rs
+++ b/savoryport/tests/node_parts.rs
@@ -46,9 +46,9 @@
 #[test]
 fn settings_name_every_mistake_at_once_and_warn_of_unknown_keys() {
     let good = NodeSettings::parse(r#"{"vm":"a","new_field":1}"#).expect("settings");
-    assert_eq!(good.unknown, ["new_field"]);
+    assert_eq!(good.unknown_keys, ["new_field"]);
     let bad = r#"{"callers_listen":"nowhere","sync_period_ms":0,"vm":"","memory_mb":"much"}"#;
-    assert_matches!(NodeSettings::parse(bad), Err(NodeSettingsError::Fields(problems)) => {
+    assert_matches!(NodeSettings::parse(bad), Err(NodeSettingsError::InvalidFields(problems)) => {
         for field in ["callers_listen", "sync_period_ms", "vm", "memory_mb"] {
             assert!(problems.iter().any(|problem| problem.starts_with(field)), "{field}");
         }
