--- a/savoryport/src/node/clock.rs
+++ b/savoryport/src/node/clock.rs
@@ -1,14 +1,14 @@
-//! The clock for leases, which goes on while the VM stands still.
+//! The clock for leases, which includes the time for which the VM was suspended.
 
 use std::time::{Duration, Instant};
 
 use rustix::time::{ClockId, clock_gettime};
 use savoryport_core::clock::Clock;
 
-/// Tells the time since the VM's boot, suspensions included, as an instant.
+/// A clock that follows the time since the VM's boot, including suspensions.
 ///
-/// A holder that was suspended must not act on a lease that lapsed meanwhile, and the steady clock
-/// does not count that time.
+/// A leader that was suspended must not act on a lease that expired meanwhile, and the monotonic
+/// clock does not count that time.
 #[derive(Debug, Clone, Copy)]
 pub struct BootClock {
     start: Instant,
@@ -16,9 +16,9 @@
 }
 
 impl BootClock {
-    /// Starts the clock at the present instant.
+    /// Creates a clock that starts at the present instant.
     pub fn new() -> Self {
-        Self { start: Instant::now(), start_since_boot: since_boot() }
+        Self { start: Instant::now(), start_since_boot: time_since_boot() }
     }
 }
 
@@ -30,11 +30,11 @@
 
 impl Clock for BootClock {
     fn now(&self) -> Instant {
-        self.start + since_boot().saturating_sub(self.start_since_boot)
+        self.start + time_since_boot().saturating_sub(self.start_since_boot)
     }
 }
 
-fn since_boot() -> Duration {
+fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
 }
--- a/savoryport/src/node/directory.rs
+++ b/savoryport/src/node/directory.rs
@@ -1,4 +1,4 @@
-//! Answers which addresses callers may use, and whether this node is ready.
+//! The directory, which tells callers the addresses of nodes, and the readiness check.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,25 +21,25 @@
 use super::context::NodeContext;
 use super::view::FleetView;
 
-/// How long callers may keep an answer. A node that stops keeps serving for longer than that.
-const KEEP_ANSWER: Duration = Duration::from_secs(1);
+/// How long callers may cache the addresses. A stopping node still serves for longer than that.
+const ADDRESS_TTL: Duration = Duration::from_secs(1);
 
-/// Addresses in one answer at most.
+/// The maximum number of addresses in one response.
 const MAX_ADDRESSES: usize = 64;
 
-/// The time for a whole exchange.
-const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The time to receive the headers of a request.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The pause after a connection could not be taken.
+/// The pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers on one address until the process ends.
+/// Serves both the directory and the readiness check on one listener until the process ends.
 pub async fn accept(cx: Arc<NodeContext>, listener: TcpListener) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(err) => {
-                log::warn!(err:% = err; "no connection taken");
+                log::warn!(err:% = err; "cannot accept a connection");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -47,71 +47,72 @@
         let cx = cx.clone();
         tokio::spawn(async move {
             let service = service_fn(|req| {
-                let answer = answer(&cx, &req);
-                async move { Ok::<_, Infallible>(answer) }
+                let response = respond(&cx, &req);
+                async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(EXCHANGE_TIMEOUT)
+                .header_read_timeout(HEADER_READ_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(err) = connection.await {
-                log::debug!(err:% = err; "directory connection ended");
+                log::debug!(err:% = err; "directory connection failed");
             }
         });
     }
 }
 
-fn answer(cx: &NodeContext, req: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn respond(cx: &NodeContext, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     let is_ready = cx.fleet.view().config.is_some() && !cx.stopping.is_cancelled();
     match req.uri().path() {
-        READINESS_PATH if is_ready => status(StatusCode::OK),
-        READINESS_PATH => status(StatusCode::SERVICE_UNAVAILABLE),
+        READINESS_PATH if is_ready => empty_response(StatusCode::OK),
+        READINESS_PATH => empty_response(StatusCode::SERVICE_UNAVAILABLE),
         DIRECTORY_PATH => {
             let question = directory_question(req.uri().query().unwrap_or_default());
             let view = cx.fleet.view();
-            let own = (!cx.stopping.is_cancelled()).then_some(cx.settings.callers_listen);
-            let addresses = addresses(&view, &question, own, cx);
+            let own_address = (!cx.stopping.is_cancelled()).then_some(cx.settings.callers_listen);
+            let addresses = nearest_addresses(&view, &question, own_address, cx);
             if addresses.is_empty() {
-                return status(StatusCode::SERVICE_UNAVAILABLE);
+                return empty_response(StatusCode::SERVICE_UNAVAILABLE);
             }
-            let longest = Duration::from_secs_f64(cx.settings.address_ttl_max_s);
-            let body = directory_answer(&addresses, KEEP_ANSWER.min(longest));
-            let mut answer = Response::new(Full::new(Bytes::from(body)));
+            let max_ttl = Duration::from_secs_f64(cx.settings.address_ttl_max_s);
+            let body = directory_answer(&addresses, ADDRESS_TTL.min(max_ttl));
+            let mut response = Response::new(Full::new(Bytes::from(body)));
             let json = HeaderValue::from_static("application/json");
-            answer.headers_mut().insert(CONTENT_TYPE, json);
-            answer
+            response.headers_mut().insert(CONTENT_TYPE, json);
+            response
         }
-        _ => status(StatusCode::NOT_FOUND),
+        _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::default());
-    *answer.status_mut() = status;
-    answer
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = status;
+    response
 }
 
-/// Returns the nodes nearest to the caller: those of its failure domain, else of its region, else all.
-fn addresses(
+/// Returns the addresses of the nodes in the caller's failure domain; if there are none, of those in its
+/// region; if there are none either, of all nodes. Without `own_address` this node is left out.
+fn nearest_addresses(
     view: &FleetView,
     question: &DirectoryQuestion,
-    own: Option<SocketAddr>,
+    own_address: Option<SocketAddr>,
     cx: &NodeContext,
 ) -> Vec<SocketAddr> {
     let members = view
         .members
         .iter()
-        .filter(|member| own.is_some() || member.callers != cx.settings.callers_listen);
+        .filter(|member| own_address.is_some() || member.callers != cx.settings.callers_listen);
     let members: Vec<_> = members.collect();
-    let near = |matches: &dyn Fn(&str) -> bool| -> Vec<SocketAddr> {
+    let addresses_in = |matches: &dyn Fn(&str) -> bool| -> Vec<SocketAddr> {
         let matching = members.iter().filter(|member| matches(&member.failure_domain));
         matching.map(|member| member.callers).take(MAX_ADDRESSES).collect()
     };
-    let in_domain = near(&|domain| domain == question.failure_domain);
+    let in_domain = addresses_in(&|domain| domain == question.failure_domain);
     if !in_domain.is_empty() {
         return in_domain;
     }
     let region = |domain: &str| cx.settings.region_of(domain).map(|region| &**region);
-    let in_region = near(&|domain| region(domain) == Some(&*question.region));
-    if in_region.is_empty() { near(&|_| true) } else { in_region }
+    let in_region = addresses_in(&|domain| region(domain) == Some(&*question.region));
+    if in_region.is_empty() { addresses_in(&|_| true) } else { in_region }
 }
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -1,8 +1,12 @@
-//! A node: one process a VM, which takes callers' requests and any duty that needs a holder.
+//! A node: the process that runs once on each VM, proxies callers' requests to backend servers and
+//! can lead a failure domain.
 //!
-//! A request's way leads through `callers`, `receive`, `proxy`, `server_selection`, `server_response` and
-//! `stream`; `store_reader`, `sync` and
-//! `leadership` keep the node's beliefs and duties; `docs/DESIGN.md` says why.
+//! The leader of a failure domain is the one node that sends orders to the domain's engines. Stored
+//! keys, messages and logs call the leadership a duty and the leader its holder.
+//!
+//! A request passes through `callers`, `receive`, `proxy`, `server_selection`, `server_response` and
+//! `stream`. `store_reader` and `sync` maintain the node's view of the fleet, and `leadership` its
+//! leases. `docs/DESIGN.md` gives the reasons.
 
 mod callers;
 mod clock;
@@ -62,92 +66,94 @@
 use self::store_reader::StoreHealth;
 use self::view::Member;
 
-/// A node that stops takes requests for this long: callers keep an address for up to three times the
-/// time that the directory names.
-const STALE_ADDRESSES: Duration = Duration::from_secs(3);
+/// The time for which a stopping node still accepts requests: callers use an address for up to three
+/// times the TTL that the directory gave.
+const STALE_ADDRESS_PERIOD: Duration = Duration::from_secs(3);
 
-/// A stop ends this long before the time that it may take.
+/// The part of `stop_within_s` that is kept for the rest of the stop after requests are drained.
 const STOP_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// The nodes that share the retry budget before any other node is known.
+/// The number of nodes that are assumed to share the retry budget before any other node is known.
 const ASSUMED_NODES: usize = 16;
 
-/// Why a node cannot run.
+/// An error that keeps a node from starting.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     #[error("cannot listen on {address}: {err}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The operating system's words.
+        /// The operating system's error.
         err: io::Error,
     },
 }
 
-/// Runs a node until `stopping` is cancelled and what it serves has ended.
+/// Runs a node until `stopping` is cancelled and either all requests have ended or the time for a stop
+/// is over.
 ///
 /// # Errors
 ///
-/// Returns an error where an address cannot be listened on.
+/// Returns an error if listening on an address fails.
 pub async fn run(settings: NodeSettings, stopping: CancellationToken) -> Result<(), NodeError> {
-    let cx = Arc::new(context(settings, stopping));
+    let cx = Arc::new(new_context(settings, stopping));
     let callers = callers::listen(cx.settings.callers_listen).await?;
     let directory = callers::listen(cx.settings.directory_listen).await?;
     let readiness = callers::listen(cx.settings.readiness_listen).await?;
     peer_server::start(&cx).await?;
     let metrics_listen = SocketAddr::new(cx.settings.ip_address, cx.settings.metrics_port);
-    let told = cx.clone();
-    let status = move || status::status(&told);
-    let page = crate::metrics::serve_page(
+    let status_cx = cx.clone();
+    let status = move || status::status(&status_cx);
+    let served = crate::metrics::serve_page(
         &metrics_listen.to_string(),
         cx.metrics.registry(),
         status,
         cx.connection_shutdown.clone(),
     );
-    if let Err(err) = page {
-        log::warn!(err:% = err; "no metrics page");
+    if let Err(err) = served {
+        log::warn!(err:% = err; "metrics page not served");
     }
-    let (reads, reading) = watch::channel(true);
-    tokio::spawn(store_reader::run(cx.clone(), reading));
-    tokio::spawn(sync::follow(cx.clone(), reads));
+    let (read_store_tx, read_store_rx) = watch::channel(true);
+    tokio::spawn(store_reader::run(cx.clone(), read_store_rx));
+    tokio::spawn(sync::follow(cx.clone(), read_store_tx));
     tokio::spawn(sync::exchange(cx.clone()));
     tokio::spawn(directory::accept(cx.clone(), directory));
     tokio::spawn(directory::accept(cx.clone(), readiness));
     tokio::spawn(callers::accept(cx.clone(), callers));
-    let duties = tokio::spawn(leadership::run(cx.clone()));
+    let leadership_task = tokio::spawn(leadership::run(cx.clone()));
     log::info!(vm = &*cx.settings.vm, domain = &*cx.settings.failure_domain; "started");
     cx.stopping.cancelled().await;
-    stop(&cx, duties).await;
+    stop(&cx, leadership_task).await;
     Ok(())
 }
 
-/// Serves what callers still send, then ends.
-async fn stop(cx: &NodeContext, duties: tokio::task::JoinHandle<()>) {
-    let ends = Duration::from_secs_f64(cx.settings.stop_within_s).saturating_sub(STOP_MARGIN);
-    log::info!(within_ms = ends.as_millis() as u64; "stopping");
+/// Drains callers' requests and gives up leaderships, each with a time limit.
+async fn stop(cx: &NodeContext, leadership_task: tokio::task::JoinHandle<()>) {
+    let drain_timeout =
+        Duration::from_secs_f64(cx.settings.stop_within_s).saturating_sub(STOP_MARGIN);
+    log::info!(within_ms = drain_timeout.as_millis() as u64; "stopping");
     let drain = async {
-        tokio::time::sleep(STALE_ADDRESSES.min(ends / 2)).await;
+        tokio::time::sleep(STALE_ADDRESS_PERIOD.min(drain_timeout / 2)).await;
         cx.connection_shutdown.cancel();
         cx.caller_tasks.close();
         cx.caller_tasks.wait().await;
     };
-    if tokio::time::timeout(ends, drain).await.is_err() {
+    if tokio::time::timeout(drain_timeout, drain).await.is_err() {
         log::warn!(open = cx.caller_tasks.len(); "stopped before everything was answered");
     }
-    let _ = tokio::time::timeout(STOP_MARGIN / 2, duties).await;
+    let _ = tokio::time::timeout(STOP_MARGIN / 2, leadership_task).await;
     log::info!("stopped");
 }
 
-fn context(settings: NodeSettings, stopping: CancellationToken) -> NodeContext {
+fn new_context(settings: NodeSettings, stopping: CancellationToken) -> NodeContext {
     let member = Member {
         vm: settings.vm.clone(),
         failure_domain: settings.failure_domain.clone(),
         callers: settings.callers_listen,
     };
-    let started = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let tenure = xxh3_64(settings.vm.as_bytes()) ^ started.as_nanos() as u64;
-    let bound = RetryBound { ratio: settings.retry_ratio, extra: settings.retry_extra };
+    let start_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let tenure = xxh3_64(settings.vm.as_bytes()) ^ start_time.as_nanos() as u64;
+    let retry_bound = RetryBound { ratio: settings.retry_ratio, extra: settings.retry_extra };
     let store_timeout = Duration::from_millis(settings.store_timeout_ms);
     NodeContext {
         clock: Arc::new(SystemClock),
@@ -156,7 +162,7 @@
         request_pool: Pool::default(),
         order_pool: Pool::default(),
         fleet: Fleet::new(member.clone()),
-        routing: SharedRoutingState::new(bound, ASSUMED_NODES, settings.selection_costs()),
+        routing: SharedRoutingState::new(retry_bound, ASSUMED_NODES, settings.selection_costs()),
         peer_reports: PeerReports::default(),
         store_health: StoreHealth::default(),
         tenure: tenure.max(1),
--- a/savoryport/src/node/peer_connections.rs
+++ b/savoryport/src/node/peer_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to other nodes, one for each address.
+//! Cached connections to other nodes, one for each address.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,27 +6,32 @@
 
 use super::rpc::{PeerConnection, PeerError};
 
-/// Open connections by address.
+/// The open connections, by address.
 #[derive(Debug, Default)]
 pub struct PeerConnections(Mutex<HashMap<SocketAddr, PeerConnection>>);
 
 impl PeerConnections {
-    /// Returns a connection, opening one if none is open.
+    /// Returns the connection to an address, and opens it if there is none.
     ///
     /// # Errors
     ///
-    /// Returns an error where nobody answers at the address.
+    /// Returns an error if connecting fails or times out.
     pub async fn get_or_connect(&self, address: SocketAddr) -> Result<PeerConnection, PeerError> {
-        if let Some(open) = self.0.lock().expect("no holder panics").get(&address) {
+        if let Some(open) =
+            self.0.lock().expect("no thread panics while holding the lock").get(&address)
+        {
             return Ok(open.clone());
         }
         let opened = PeerConnection::connect(address).await?;
-        self.0.lock().expect("no holder panics").insert(address, opened.clone());
+        self.0
+            .lock()
+            .expect("no thread panics while holding the lock")
+            .insert(address, opened.clone());
         Ok(opened)
     }
 
-    /// Drops a connection that gave no answer.
+    /// Drops the connection to an address, so that the next call opens a new one.
     pub fn remove(&self, address: SocketAddr) {
-        self.0.lock().expect("no holder panics").remove(&address);
+        self.0.lock().expect("no thread panics while holding the lock").remove(&address);
     }
 }
