--- a/savoryport/src/node/metrics.rs
+++ b/savoryport/src/node/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a node.
+//! The metrics of a node.
 
 use std::time::Duration;
 
@@ -14,62 +14,62 @@
 
 /// Labels of an ended request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct EndLabels {
+pub struct OutcomeLabels {
     /// The rank.
     pub rank: u8,
-    /// How it ended.
+    /// The outcome, under the same name as in the log.
     pub outcome: String,
 }
 
-/// The rank of a request.
+/// Labels of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RankLabels {
     /// The rank.
     pub rank: u8,
 }
 
-/// Why a request got no answer of a server.
+/// Labels of a refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CauseLabels {
-    /// The cause.
+    /// The name of the cause.
     pub cause: &'static str,
 }
 
-/// Labels of an order.
+/// Labels of an order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OrderLabels {
-    /// What was ordered.
+    /// The name of the operation.
     pub order: &'static str,
-    /// What the server said.
+    /// The name of the server's answer.
     pub answer: &'static str,
 }
 
 /// The metrics of a node.
 #[derive(Clone)]
 pub struct NodeMetrics {
-    /// Ended requests.
-    pub requests: Family<EndLabels, Counter>,
-    /// Seconds from arrival to the end.
+    /// Requests that ended.
+    pub requests: Family<OutcomeLabels, Counter>,
+    /// Time from the arrival of a request to its end, in seconds.
     pub duration: Family<RankLabels, Histogram, fn() -> Histogram>,
-    /// Requests without an answer of a server.
+    /// Requests that ended without a server's response.
     pub refusals: Family<CauseLabels, Counter>,
-    /// Answers of servers that did not run the request.
+    /// Responses of servers that did not run the request.
     pub not_run: Counter,
-    /// Streams that went on at another server.
+    /// Streams that were resumed at another server.
     pub resumed_streams: Counter,
-    /// Orders to engines.
+    /// Orders sent to engines.
     pub orders: Family<OrderLabels, Counter>,
-    /// Moves of models that were decided.
+    /// Moves of models that the planner decided on.
     pub model_moves: Counter,
-    /// Reports read from engines.
+    /// Reports received from engines.
     pub engine_reports: Counter,
-    /// Calls of the store.
+    /// Calls to the store.
     pub store_calls: Counter,
-    /// Calls of the store that failed.
+    /// Calls to the store that failed.
     pub store_failures: Counter,
 }
 
-fn seconds() -> Histogram {
+fn duration_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.005, 2.0, 12))
 }
 
@@ -77,7 +77,7 @@
     fn default() -> Self {
         Self {
             requests: Family::default(),
-            duration: Family::new_with_constructor(seconds as fn() -> Histogram),
+            duration: Family::new_with_constructor(duration_histogram as fn() -> Histogram),
             refusals: Family::default(),
             not_run: Counter::default(),
             resumed_streams: Counter::default(),
@@ -91,20 +91,20 @@
 }
 
 impl NodeMetrics {
-    /// Counts an ended request.
+    /// Counts a request that ended, and records its duration.
     pub fn record_request_end(&self, route: &Route, outcome: &str, elapsed: Duration) {
-        let labels = EndLabels { rank: route.rank, outcome: outcome.to_owned() };
+        let labels = OutcomeLabels { rank: route.rank, outcome: outcome.to_owned() };
         self.requests.get_or_create(&labels).inc();
-        let rank = RankLabels { rank: route.rank };
-        self.duration.get_or_create(&rank).observe(elapsed.as_secs_f64());
+        let labels = RankLabels { rank: route.rank };
+        self.duration.get_or_create(&labels).observe(elapsed.as_secs_f64());
     }
 
-    /// Counts a request without an answer of a server.
+    /// Counts a request that ended without a server's response.
     pub fn record_refusal(&self, cause: RefusalCause) {
         self.refusals.get_or_create(&CauseLabels { cause: cause.name() }).inc();
     }
 
-    /// Counts an order.
+    /// Counts an order and its answer.
     pub fn record_order(&self, order: &'static str, answer: OrderAnswer) {
         let answer = match answer {
             OrderAnswer::Accepted => "accepted",
@@ -116,7 +116,7 @@
         self.orders.get_or_create(&OrderLabels { order, answer }).inc();
     }
 
-    /// Registers everything under its name.
+    /// Returns a registry with all metrics.
     pub fn registry(&self) -> Registry {
         let mut registry = Registry::with_prefix("savoryport");
         registry.register("requests", "Ended requests", self.requests.clone());
