--- a/savoryport/src/node/rpc.rs
+++ b/savoryport/src/node/rpc.rs
@@ -1,4 +1,7 @@
-//! What nodes say to each other, over tarpc.
+//! The messages between nodes and the client side of their calls, over tarpc.
+//!
+//! A follower calls the leader of its failure domain, and leaders call each other. Messages are
+//! encoded by position, so the order of fields and variants is part of the protocol.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,145 +17,151 @@
 
 use super::view::{DomainLeader, Member};
 
-/// The time to connect to another node.
+/// Timeout for connecting to another node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The longest message between nodes in bytes: a whole configuration and some more.
+/// The maximum size of a message between nodes, in bytes: a whole configuration and a margin.
 pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
-/// How the asking node takes part.
+/// The role of the calling node in a sync.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// It follows the duty holder of its failure domain.
+    /// A follower, which calls the leader of its failure domain.
     Follower,
-    /// It holds the duty of another failure domain.
+    /// The leader of another failure domain.
     Holder,
 }
 
-/// What the asking node has of the answering one's state.
+/// How much of the called node's state the calling node already has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncPosition {
-    /// The tenure of the duty holder that the other numbers belong to.
+    /// The tenure of the called node that the other numbers belong to. It differs between starts of
+    /// the process; a node with another tenure sends all servers and members.
     pub tenure: u64,
-    /// The last change of servers.
+    /// The revision of the last change of servers.
     pub servers: u64,
-    /// The last change of members or holders.
+    /// The revision of the last change of members or leaders.
     pub members: u64,
-    /// The last prompt record.
+    /// The number of the last prompt record.
     pub prompts: u64,
-    /// The version of the configuration.
+    /// The version of the configuration in force.
     pub config: u64,
 }
 
-/// A prompt that a server has read.
+/// A prompt that was sent to a server, which probably caches its prefixes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PromptRecord {
-    /// The server.
+    /// The id of the server.
     pub server: Name,
-    /// Its incarnation.
+    /// The incarnation of the server, which changes when it restarts and loses its cache.
     pub incarnation: u64,
-    /// The keys of the prompt's beginnings.
+    /// The keys and lengths of the prompt's prefixes, shortest first.
     pub keys: PrefixKeys,
 }
 
 impl PromptRecord {
-    /// Returns the keys of the beginnings that other prompts may share: all but the whole prompt.
+    /// Returns the keys of the prefixes that other prompts may share: all but the last, which is
+    /// the whole prompt.
     pub fn shared_keys(&self) -> &[(u64, u32)] {
         self.keys.split_last().map_or(&[], |(_, shared)| shared)
     }
 }
 
-/// A copy of a model, or of one of its adapters, that requests of one node use.
+/// The use of a copy of a model, or of one of its adapters, by the requests of one node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyUse {
-    /// The server.
+    /// The id of the server that holds the copy.
     pub server: Name,
     /// The model.
     pub model: Name,
-    /// The adapter, where the requests name one.
+    /// The adapter, if the requests name one.
     pub adapter: Option<Name>,
-    /// Requests under way.
+    /// The number of requests in progress.
     pub requests: u32,
 }
 
-/// What a node tells, and what it has.
+/// The report of the calling node, and the state that it already has.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// The asking node.
+    /// The calling node.
     pub member: Member,
-    /// How it takes part.
+    /// The role of the calling node.
     pub role: Role,
-    /// Whether it is stopping and takes no more callers.
+    /// Whether it is stopping and accepts no more callers.
     pub is_leaving: bool,
-    /// What it has.
+    /// The state of the called node that it already has.
     pub have: SyncPosition,
-    /// What it, or its whole failure domain, has under way by server.
+    /// The load that its own requests put on each server; from a leader, the load by its whole
+    /// failure domain.
     pub loads: Vec<(Name, ServerLoad)>,
-    /// Milliseconds of work by model that arrived since the last call.
+    /// Server time that requests asked for since the last call, by model, in milliseconds.
     pub work_ms: Vec<(Name, f64)>,
-    /// The demand for each model in servers' worth, from holders of the same region.
+    /// The demand for each model, in servers; only sent by leaders to those in their own region.
     pub demand: Vec<(Name, f64)>,
-    /// Copies in use.
+    /// The copies that its own requests use; from a leader, those at the called node's failure
+    /// domain that its whole failure domain uses.
     pub copies: Vec<CopyUse>,
-    /// Prompts sent since the last call.
+    /// The prompts that it sent to servers since the last call.
     pub prompts: Vec<PromptRecord>,
 }
 
-/// Nodes that take callers, and duty holders by failure domain.
+/// The nodes that callers may use, and the leaders by failure domain.
 pub type Membership = (Vec<Member>, Vec<(Name, DomainLeader)>);
 
-/// What the asking node lacks.
+/// The state that the calling node lacks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SyncReply {
-    /// Where the asking node stands after this answer.
+    /// The position of the calling node once it has applied this reply.
     pub position: SyncPosition,
-    /// Whether the answering node holds the duty and hears from the store.
+    /// Whether the called node leads its failure domain and can reach the store.
     pub is_holder: bool,
-    /// Whether the servers are all there are, not changes.
+    /// Whether `servers` lists all servers instead of the changed ones.
     pub is_full: bool,
-    /// Servers that changed.
+    /// The servers that changed, or all servers.
     pub servers: Vec<BackendServer>,
-    /// Servers that are gone.
+    /// The ids of servers that were removed.
     pub removed: Vec<Name>,
-    /// Members and holders, if changed.
+    /// The members and leaders, if they changed.
     pub members: Option<Membership>,
-    /// What all others have under way by server.
+    /// The load on each server: for a follower by all other nodes, for a leader by the called
+    /// node's failure domain.
     pub loads: Vec<(Name, ServerLoad)>,
-    /// Prompts that others sent.
+    /// Prompts that other nodes sent to servers.
     pub prompts: Vec<PromptRecord>,
 }
 
-/// What a duty holder says to a wish.
+/// A leader's reply to a request for a model or an adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Availability {
-    /// It is there.
+    /// It can be used.
     Ready,
-    /// It is being loaded and will be there after so many milliseconds.
+    /// It will be loaded; the number is the expected time in milliseconds.
     Loading(u64),
     /// It cannot be loaded now.
     Unavailable,
 }
 
-/// The service of a node.
+/// The calls that every node answers.
 #[tarpc::service]
 pub trait Peer {
-    /// Tells what the asking node has under way, and returns what it lacks.
+    /// Takes the report of the calling node, and returns the state that it lacks.
     async fn sync(req: SyncRequest) -> SyncReply;
-    /// Returns the configuration in force, compressed, if it is newer than this version.
+    /// Returns the configuration in force, compressed, if its version is higher than `have`.
     async fn config(have: u64) -> Option<Vec<u8>>;
-    /// Asks for an adapter at a server; the answer comes when it can be used.
+    /// Has an adapter loaded at a server. The reply is sent once the adapter can be used or its
+    /// loading has failed.
     async fn want_adapter(server: Name, model: Name, adapter: Name) -> Availability;
-    /// Asks for a model that no server holds.
+    /// Requests the loading of a model that no server holds, and returns at once.
     async fn want_model(service: Name, model: Name) -> Availability;
 }
 
-/// Why another node gave no answer.
+/// A failed call to another node.
 #[derive(Debug, Error)]
 #[error("node at {address}: {problem}")]
 pub struct PeerError {
-    /// Its address.
+    /// The address of the node.
     pub address: SocketAddr,
-    /// The library's words.
+    /// The error message of the RPC library or of this module.
     pub problem: String,
 }
 
@@ -168,15 +177,15 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where nobody answers at the address.
+    /// Returns an error if connecting fails or times out.
     pub async fn connect(address: SocketAddr) -> Result<Self, PeerError> {
-        let failed = |problem: String| PeerError { address, problem };
+        let connect_error = |problem: String| PeerError { address, problem };
         let mut connecting = tarpc::serde_transport::tcp::connect(address, Bincode::default);
         connecting.config_mut().max_frame_length(MAX_MESSAGE_BYTES);
         let transport = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .map_err(|_| failed("no connection in time".to_owned()))?
-            .map_err(|err| failed(err.to_string()))?;
+            .map_err(|_| connect_error("connection timed out".to_owned()))?
+            .map_err(|err| connect_error(err.to_string()))?;
         let client = PeerClient::new(client::Config::default(), transport).spawn();
         Ok(Self { address, client })
     }
@@ -190,55 +199,55 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came in time.
-    pub async fn sync(&self, req: SyncRequest, within: Duration) -> Result<SyncReply, PeerError> {
-        self.client.sync(deadline(within), req).await.map_err(|err| self.failed(&err))
+    /// Returns an error if the call fails or times out.
+    pub async fn sync(&self, req: SyncRequest, timeout: Duration) -> Result<SyncReply, PeerError> {
+        self.client.sync(call_context(timeout), req).await.map_err(|err| self.call_error(&err))
     }
 
     /// Calls [`Peer::config`].
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came in time.
-    pub async fn config(&self, have: u64, within: Duration) -> Result<Option<Vec<u8>>, PeerError> {
-        self.client.config(deadline(within), have).await.map_err(|err| self.failed(&err))
+    /// Returns an error if the call fails or times out.
+    pub async fn config(&self, have: u64, timeout: Duration) -> Result<Option<Vec<u8>>, PeerError> {
+        self.client.config(call_context(timeout), have).await.map_err(|err| self.call_error(&err))
     }
 
     /// Calls [`Peer::want_adapter`].
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came in time.
+    /// Returns an error if the call fails or times out.
     pub async fn want_adapter(
         &self,
         (server, model, adapter): (Name, Name, Name),
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Availability, PeerError> {
-        let reply = self.client.want_adapter(deadline(within), server, model, adapter).await;
-        reply.map_err(|err| self.failed(&err))
+        let reply = self.client.want_adapter(call_context(timeout), server, model, adapter).await;
+        reply.map_err(|err| self.call_error(&err))
     }
 
     /// Calls [`Peer::want_model`].
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came in time.
+    /// Returns an error if the call fails or times out.
     pub async fn want_model(
         &self,
         (service, model): (Name, Name),
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Availability, PeerError> {
-        let reply = self.client.want_model(deadline(within), service, model).await;
-        reply.map_err(|err| self.failed(&err))
+        let reply = self.client.want_model(call_context(timeout), service, model).await;
+        reply.map_err(|err| self.call_error(&err))
     }
 
-    fn failed(&self, err: &client::RpcError) -> PeerError {
+    fn call_error(&self, err: &client::RpcError) -> PeerError {
         PeerError { address: self.address, problem: err.to_string() }
     }
 }
 
-fn deadline(within: Duration) -> context::Context {
-    let mut cx = context::current();
-    cx.deadline = Instant::now() + within;
-    cx
+fn call_context(timeout: Duration) -> context::Context {
+    let mut context = context::current();
+    context.deadline = Instant::now() + timeout;
+    context
 }
