--- a/savoryport/src/node/directory.rs
+++ b/savoryport/src/node/directory.rs
@@ -91,8 +91,9 @@
     response
 }
 
-/// Returns the addresses of the nodes in the caller's failure domain; if there are none, of those in its
-/// region; if there are none either, of all nodes. Without `own_address` this node is left out.
+/// Returns the addresses of the nodes in the caller's failure domain; if there are none, of those
+/// in its region; if there are none either, of all nodes. Without `own_address` this node is left
+/// out.
 fn nearest_addresses(
     view: &FleetView,
     question: &DirectoryQuestion,
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -4,9 +4,9 @@
 //! The leader of a failure domain is the one node that sends orders to the domain's engines. Stored
 //! keys, messages and logs call the leadership a duty and the leader its holder.
 //!
-//! A request passes through `callers`, `receive`, `proxy`, `server_selection`, `server_response` and
-//! `stream`. `store_reader` and `sync` maintain the node's view of the fleet, and `leadership` its
-//! leases. `docs/DESIGN.md` gives the reasons.
+//! A request passes through `callers`, `receive`, `proxy`, `server_selection`, `server_response`
+//! and `stream`. `store_reader` and `sync` maintain the node's view of the fleet, and `leadership`
+//! its leases. `docs/DESIGN.md` gives the reasons.
 
 mod callers;
 mod clock;
@@ -66,8 +66,8 @@
 use self::store_reader::StoreHealth;
 use self::view::Member;
 
-/// The time for which a stopping node still accepts requests: callers use an address for up to three
-/// times the TTL that the directory gave.
+/// The time for which a stopping node still accepts requests: callers use an address for up to
+/// three times the TTL that the directory gave.
 const STALE_ADDRESS_PERIOD: Duration = Duration::from_secs(3);
 
 /// The part of `stop_within_s` that is kept for the rest of the stop after requests are drained.
@@ -89,8 +89,8 @@
     },
 }
 
-/// Runs a node until `stopping` is cancelled and either all requests have ended or the time for a stop
-/// is over.
+/// Runs a node until `stopping` is cancelled and either all requests have ended or the time for a
+/// stop is over.
 ///
 /// # Errors
 ///
--- a/savoryport/src/node/settings.rs
+++ b/savoryport/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node, read from a JSON file and checked at start.
+//! The settings of a node, which are read from a JSON file and validated at start.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -11,7 +11,8 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Settings of one node; every field has a default and a unit.
+/// The settings of one node. Every field has a default, and times and sizes have their unit in the
+/// name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct NodeSettings {
@@ -21,78 +22,86 @@
     pub failure_domain: Name,
     /// The region of that failure domain. Default `region-1`.
     pub region: Name,
-    /// The region of every failure domain. Default none.
+    /// The region of each failure domain, this one included, by failure domain. Default empty.
     pub failure_domains: BTreeMap<Name, Name>,
-    /// Address for callers' requests. Default `127.0.0.1:7100`.
+    /// The address that accepts callers' requests. Default `127.0.0.1:7100`.
     pub callers_listen: SocketAddr,
-    /// Address for the platform's question whether this node is ready. Default `127.0.0.1:7101`.
+    /// The address of the readiness check that the platform calls. Default `127.0.0.1:7101`.
     pub readiness_listen: SocketAddr,
-    /// Address for callers' question which addresses to use. Default `127.0.0.1:7102`.
+    /// The address of the directory that callers ask for addresses of nodes. Default
+    /// `127.0.0.1:7102`.
     pub directory_listen: SocketAddr,
-    /// The VM's address, for other nodes and for metrics. Default `127.0.0.1`.
+    /// The IP address of the VM, for calls of other nodes and for metrics. Default `127.0.0.1`.
     pub ip_address: IpAddr,
-    /// Port for other nodes. Default 7103.
+    /// The port for calls of other nodes. Default 7103.
     pub peers_port: u16,
-    /// Port for metrics. Default 9464.
+    /// The port for metrics. Default 9464.
     pub metrics_port: u16,
-    /// Address of the platform's store. Default `127.0.0.1:7104`.
+    /// The address of the platform's store. Default `127.0.0.1:7104`.
     pub store: Name,
-    /// Whether the whole system starts for the first time. Default false.
+    /// Whether the whole system starts for the first time, so that no orders or loads of earlier
+    /// nodes can be in progress. Default false.
     pub first_start: bool,
-    /// The share of a core that the process may use. Default 1.
+    /// The share of a CPU core that the process may use. Default 1.
     pub cpu_share: f64,
-    /// Memory that the process may use, in MB. Default 256.
+    /// The memory that the process may use, in MB. Default 256.
     pub memory_mb: u64,
-    /// Descriptors that the process may use. Default 4,096.
+    /// The number of file descriptors that the process may use. Default 4,096.
     pub file_descriptors: u64,
-    /// The shortest time between orders of two holders to one server, in milliseconds. Default 3,000.
+    /// The minimum time between the orders of two successive leaders to one server, in
+    /// milliseconds. Default 3,000.
     pub order_turn_ms: u64,
-    /// The shortest lease that the store gives, in milliseconds. Default 1,000.
+    /// The shortest time to live of a lease that the store grants, in milliseconds. Default 1,000.
     pub min_lease_ms: u64,
-    /// The time that a stop may take, in seconds. Default 8.
+    /// The maximum time that stopping the node takes, in seconds. Default 8.
     pub stop_within_s: f64,
-    /// Retries allowed for each request, over all nodes. Default 0.2.
+    /// The number of retries allowed for each request, over all nodes. Default 0.2.
     pub retry_ratio: f64,
-    /// Retries allowed besides, over all nodes. Default 10.
+    /// The number of retries allowed in addition to that, over all nodes. Default 10.
     pub retry_extra: f64,
-    /// The window in which loads from the weight store are counted, in seconds. Default 5.
+    /// The length of the window in which loads from the weight store are counted against its rate,
+    /// in seconds. Default 5.
     pub load_window_s: f64,
-    /// The longest time for which callers may keep an address, in seconds. Default 5.
+    /// The maximum time for which callers may cache an address, in seconds. Default 5.
     pub address_ttl_max_s: f64,
-    /// The time between two looks at the store, in milliseconds. Default 500.
+    /// The interval between two reads of the store, in milliseconds. Default 500.
     pub store_poll_ms: u64,
-    /// The time for one call of the store, in milliseconds. Default 1,000.
+    /// Timeout for a call to the store, in milliseconds. Default 1,000.
     pub store_timeout_ms: u64,
-    /// The time between two reports to the node that holds the duty, in milliseconds. Default 50.
+    /// The interval between two syncs of a follower with its leader, in milliseconds. Default 50.
     pub sync_period_ms: u64,
-    /// The time between two exchanges of duty holders, in milliseconds. Default 250.
+    /// The interval between two syncs of a leader with the other leaders, in milliseconds. Default
+    /// 250.
     pub exchange_period_ms: u64,
-    /// The time between two looks at the placement of models, in milliseconds. Default 100.
+    /// The interval between two planning rounds for the placement of models, in milliseconds.
+    /// Default 100.
     pub placement_period_ms: u64,
-    /// The time to connect to a backend server, in milliseconds. Default 400.
+    /// Timeout for connecting to a backend server, in milliseconds. Default 400.
     pub connect_timeout_ms: u64,
-    /// The time that an engine takes for an adapter after it accepted the order, in milliseconds.
-    /// Default 12.
+    /// The time that an engine takes to load an adapter once it has accepted the order, in
+    /// milliseconds. Default 12.
     pub adapter_load_ms: u64,
-    /// Added to the expected time of a server in another failure domain, in milliseconds. Default 8.
+    /// The time added to the expected latency of a server in another failure domain, in
+    /// milliseconds. Default 8.
     pub other_domain_ms: f64,
-    /// Added to the expected time of a server in another region, in milliseconds. Default 90.
+    /// The time added to the expected latency of a server in another region, in milliseconds.
+    /// Default 90.
     pub other_region_ms: f64,
-    /// The level of the log: `error`, `warn`, `info` or `debug`. Default `info`.
+    /// The log level: `error`, `warn`, `info` or `debug`. Default `info`.
     pub log_level: String,
 }
 
 impl Default for NodeSettings {
     fn default() -> Self {
-        let local = |port| SocketAddr::from((Ipv4Addr::LOCALHOST, port));
+        let localhost = |port| SocketAddr::from((Ipv4Addr::LOCALHOST, port));
         Self {
             vm: "vm-1".into(),
             failure_domain: "domain-a".into(),
             region: "region-1".into(),
             failure_domains: BTreeMap::new(),
-            callers_listen: local(7100),
-            readiness_listen: local(7101),
-            directory_listen: local(7102),
+            callers_listen: localhost(7100),
+            readiness_listen: localhost(7101),
+            directory_listen: localhost(7102),
             ip_address: Ipv4Addr::LOCALHOST.into(),
             peers_port: 7103,
             metrics_port: 9464,
@@ -122,7 +131,7 @@
     }
 }
 
-/// Why the settings cannot be used.
+/// An error that makes the settings unusable.
 #[derive(Debug, Error)]
 pub enum NodeSettingsError {
     /// The file cannot be read.
@@ -130,32 +139,34 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The operating system's words.
+        /// The operating system's error message.
         problem: String,
     },
     /// The file is not JSON, or not an object.
     #[error("not a JSON object: {0}")]
     Malformed(String),
-    /// Fields have values that they may not have, one a line.
+    /// Some fields have invalid values; each entry names a field and its problem, and is displayed
+    /// on a line of its own.
     #[error("{}", .0.join("\n"))]
     InvalidFields(Vec<String>),
 }
 
-/// Settings that passed their checks.
+/// Settings that passed validation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CheckedNodeSettings {
     /// The settings.
     pub settings: NodeSettings,
-    /// Keys that no setting has.
+    /// The keys in the file that name no setting, and are ignored.
     pub unknown_keys: Vec<String>,
 }
 
 impl NodeSettings {
-    /// Reads a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Returns every problem at once.
+    /// Returns an error if the file cannot be read, is not a JSON object, or has invalid fields,
+    /// all of which are listed.
     pub fn read(path: &Path) -> Result<CheckedNodeSettings, NodeSettingsError> {
         let text = std::fs::read_to_string(path).map_err(|err| NodeSettingsError::Unreadable {
             path: path.to_owned(),
@@ -164,24 +175,26 @@
         Self::parse(&text)
     }
 
-    /// Reads the text of a file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Returns every problem at once.
+    /// Returns an error if the text is not a JSON object or has invalid fields, all of which are
+    /// listed.
     pub fn parse(text: &str) -> Result<CheckedNodeSettings, NodeSettingsError> {
-        let given: serde_json::Map<String, Value> = serde_json::from_str(text)
+        let file_fields: serde_json::Map<String, Value> = serde_json::from_str(text)
             .map_err(|err| NodeSettingsError::Malformed(err.to_string()))?;
         let defaults = serde_json::to_value(Self::default()).expect("plain fields serialize");
         let mut merged = defaults.as_object().cloned().unwrap_or_default();
         let (mut unknown_keys, mut problems) = (Vec::new(), Vec::new());
-        for (key, value) in given {
+        for (key, value) in file_fields {
             let Some(default) = merged.get(&key).cloned() else {
                 unknown_keys.push(key);
                 continue;
             };
             merged.insert(key.clone(), value.clone());
-            // Each field is tried by itself, so that all mistyped ones are named at once.
+            // Each field is deserialized separately, so that all fields of a wrong type are
+            // reported.
             if let Err(err) = serde_json::from_value::<Self>(Value::Object(merged.clone())) {
                 problems.push(format!("{key}: {err} (found {value})"));
                 merged.insert(key, default);
@@ -189,7 +202,7 @@
         }
         let settings: Self = serde_json::from_value(Value::Object(merged))
             .map_err(|err| NodeSettingsError::Malformed(err.to_string()))?;
-        problems.extend(settings.problems());
+        problems.extend(settings.range_problems());
         if problems.is_empty() {
             Ok(CheckedNodeSettings { settings, unknown_keys })
         } else {
@@ -197,11 +210,11 @@
         }
     }
 
-    fn problems(&self) -> Vec<String> {
+    fn range_problems(&self) -> Vec<String> {
         let mut problems = Vec::new();
-        let mut check = |field: &str, holds: bool, wanted: &str| {
-            if !holds {
-                problems.push(format!("{field}: must be {wanted}"));
+        let mut check = |field: &str, is_valid: bool, requirement: &str| {
+            if !is_valid {
+                problems.push(format!("{field}: must be {requirement}"));
             }
         };
         check("vm", !self.vm.is_empty(), "a name");
@@ -222,28 +235,29 @@
         problems
     }
 
-    /// Returns the address for other nodes.
+    /// Returns the address for calls of other nodes.
     pub fn peers_listen(&self) -> SocketAddr {
         SocketAddr::new(self.ip_address, self.peers_port)
     }
 
-    /// Returns whether a failure domain is in this VM's region.
+    /// Returns whether a failure domain is in the region of this VM.
     pub fn is_in_own_region(&self, failure_domain: &str) -> bool {
         self.region_of(failure_domain) == Some(&self.region)
     }
 
-    /// Returns the region of a failure domain, if the settings name it.
+    /// Returns the region of a failure domain, if the settings list it.
     pub fn region_of(&self, failure_domain: &str) -> Option<&Name> {
         self.failure_domains.get(failure_domain)
     }
 
-    /// Returns the time to live of the duty's lease. It is as short as the store allows with room for
-    /// lost renewals, since nobody gives orders between a holder's end and its lapse.
+    /// Returns the time to live of the lease on a leadership. It is as short as the store allows
+    /// with a margin for lost renewals, because no orders are sent from the failure of a leader
+    /// until its lease expires.
     pub fn leadership_lease_ttl(&self) -> Duration {
         Duration::from_millis((self.min_lease_ms * 2).max(1_000))
     }
 
-    /// Returns what distance and missing adapters cost.
+    /// Returns the costs of distance and of missing adapters in the selection of a server.
     pub fn selection_costs(&self) -> SelectionCosts {
         SelectionCosts {
             other_domain_ms: self.other_domain_ms,
--- a/savoryport/src/node/status.rs
+++ b/savoryport/src/node/status.rs
@@ -1,11 +1,12 @@
-//! What a node believes, as JSON for operators.
+//! The status page of a node, as JSON for operators.
 
 use serde_json::{Value, json};
 
 use super::context::NodeContext;
 use super::domain_controller::DomainController;
 
-/// Returns the node's beliefs: the configuration, members, duties, servers and orders under way.
+/// Returns the node's current view: the configuration, members, leaders and servers, and the
+/// engines of the failure domains that it leads.
 pub fn status(cx: &NodeContext) -> Value {
     let view = cx.fleet.view();
     let routing = cx.routing.lock();
@@ -39,18 +40,23 @@
         "members": members,
         "holders": view.leaders,
         "servers": servers,
-        "duties": cx.controllers.all().iter().map(|controller| duty(cx, controller)).collect::<Vec<_>>(),
+        "duties": cx
+            .controllers
+            .all()
+            .iter()
+            .map(|controller| leadership_status(cx, controller))
+            .collect::<Vec<_>>(),
     })
 }
 
-fn duty(cx: &NodeContext, controller: &DomainController) -> Value {
-    let engines = controller.engine_states().into_iter().map(|(server, ledger, moving)| {
+fn leadership_status(cx: &NodeContext, controller: &DomainController) -> Value {
+    let engines = controller.engine_states().into_iter().map(|(server, contents, current_move)| {
         json!({
             "server": server,
-            "models": ledger.models().collect::<Vec<_>>(),
-            "adapters": ledger.adapters().count(),
-            "accepted_orders": ledger.expected_orders(),
-            "loading": moving.map(|moving| moving.load),
+            "models": contents.models().collect::<Vec<_>>(),
+            "adapters": contents.adapters().count(),
+            "accepted_orders": contents.expected_orders(),
+            "loading": current_move.map(|current_move| current_move.load),
         })
     });
     json!({
