--- a/savoryport/src/bin/node.rs
+++ b/savoryport/src/bin/node.rs
@@ -1,4 +1,4 @@
-//! The process that runs on each VM of a platform deployment.
+//! The node process, which runs on each VM of a platform deployment.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,11 +10,11 @@
 
 const PROGRAM: &str = "savoryport-node";
 
-/// The variable that names the settings file where no argument does.
+/// The environment variable that names the settings file if no argument does.
 const SETTINGS_VARIABLE: &str = "SAVORYPORT_BOOT";
 
-/// The exit status for bad arguments or settings.
-const EXIT_USAGE: u8 = 2;
+/// The exit status for invalid arguments or settings and for a node that cannot run.
+const EXIT_ERROR: u8 = 2;
 
 const USAGE: &str = "\
 Usage: savoryport-node [--settings FILE.json]
@@ -25,11 +25,11 @@
     let path = match settings_path() {
         Ok(Some(path)) => path,
         Ok(None) => return ExitCode::SUCCESS,
-        Err(err) => return fail(&err.to_string()),
+        Err(err) => return exit_with_error(&err.to_string()),
     };
     let checked = match NodeSettings::read(&path) {
         Ok(checked) => checked,
-        Err(err) => return fail(&err.to_string()),
+        Err(err) => return exit_with_error(&err.to_string()),
     };
     savoryport::logging::start_json(&checked.settings.log_level);
     for key in checked.unknown_keys {
@@ -37,21 +37,23 @@
     }
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(err) => return fail(&err.to_string()),
+        Err(err) => return exit_with_error(&err.to_string()),
     };
-    let ended = runtime.block_on(async {
+    let result = runtime.block_on(async {
         let stopping = CancellationToken::new();
         tokio::spawn(savoryport::daemon::cancel_on_signal(stopping.clone()));
         tokio::spawn(savoryport::daemon::note_reloads());
         node::run(checked.settings, stopping).await
     });
     savoryport::logging::flush();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(err) => fail(&err.to_string()),
+        Err(err) => exit_with_error(&err.to_string()),
     }
 }
 
+/// Returns the path of the settings file, or nothing if the arguments only ask for help or the
+/// version.
 fn settings_path() -> Result<Option<PathBuf>, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
     let mut path = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
@@ -69,11 +71,12 @@
             other => return Err(other.unexpected()),
         }
     }
-    let missing = || "no settings: use --settings FILE.json or set SAVORYPORT_BOOT".into();
-    path.map(Some).ok_or_else(missing)
+    let missing_settings = || "no settings: use --settings FILE.json or set SAVORYPORT_BOOT".into();
+    path.map(Some).ok_or_else(missing_settings)
 }
 
-fn fail(problem: &str) -> ExitCode {
+/// Prints a problem and returns the exit status for it.
+fn exit_with_error(problem: &str) -> ExitCode {
     eprintln!("{PROGRAM}: {problem}");
-    ExitCode::from(EXIT_USAGE)
+    ExitCode::from(EXIT_ERROR)
 }
