--- a/savoryport/src/node/domain_controller.rs
+++ b/savoryport/src/node/domain_controller.rs
@@ -1,4 +1,7 @@
-//! The duty of giving orders to the servers of one failure domain.
+//! Control of the model engines of the failure domains that this node leads.
+//!
+//! The leader of a failure domain decides which models and adapters the engines there hold, and
+//! sends them the orders to load and unload.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,45 +21,45 @@
 use super::planner::{Planner, plan};
 use super::rpc::WishReply;
 
-/// The time that an adapter may take before a request looks elsewhere.
-const ADAPTER_PATIENCE: Duration = Duration::from_millis(400);
+/// How long a request waits for an adapter before it tries another server.
+const ADAPTER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The controllers of this node, by failure domain.
 #[derive(Debug, Default)]
 pub struct DomainControllers(Mutex<HashMap<Name, Arc<DomainController>>>);
 
-/// One duty that this node holds.
+/// The leadership of one failure domain, with the state of its engines.
 #[derive(Debug)]
 pub struct DomainController {
-    /// The failure domain.
+    /// The failure domain that this node leads.
     pub domain: Name,
-    /// Cancelled when the duty is lost or given up.
+    /// Cancelled when the leadership is lost or released.
     pub cancel: CancellationToken,
-    /// The store's lease of the duty.
+    /// The id of the store's lease that the leadership is bound to.
     pub lease: AtomicU64,
-    duty: Mutex<Duty>,
+    leadership: Mutex<Duty>,
     engines: Mutex<HashMap<Name, EngineHandle>>,
-    /// What its placement remembers.
+    /// The state of the model placement.
     pub planner: Mutex<Planner>,
 }
 
 impl DomainControllers {
-    /// Returns whether this node holds the duty of a failure domain.
+    /// Returns whether this node leads a failure domain.
     pub fn leads(&self, domain: &str) -> bool {
         self.0.lock().expect("no holder panics").contains_key(domain)
     }
 
-    /// Returns whether this node holds any duty.
+    /// Returns whether this node leads any failure domain.
     pub fn leads_any(&self) -> bool {
         !self.0.lock().expect("no holder panics").is_empty()
     }
 
-    /// Returns every desk.
+    /// Returns all controllers.
     pub fn all(&self) -> Vec<Arc<DomainController>> {
         self.0.lock().expect("no holder panics").values().cloned().collect()
     }
 
-    /// Opens a desk and starts its work.
+    /// Adds a controller and starts its placement task.
     pub fn open(
         &self,
         cx: &Arc<NodeContext>,
@@ -72,14 +75,15 @@
         controller
     }
 
-    /// Closes a desk: no order leaves it any more.
+    /// Removes a controller and stops its tasks; it sends no more orders.
     pub fn close(&self, controller: &DomainController) {
         controller.cancel.cancel();
-        controller.duty.lock().expect("no holder panics").lost();
+        controller.leadership.lock().expect("no holder panics").lost();
         self.0.lock().expect("no holder panics").remove(&controller.domain);
     }
 
-    /// Brings an adapter to a server; returns when it can be used.
+    /// Loads an adapter at a server unless it is there, and returns once requests can use it or it
+    /// turns out to be unavailable.
     pub async fn ensure_adapter(
         &self,
         cx: &Arc<NodeContext>,
@@ -99,13 +103,14 @@
         let (reply, answer) = oneshot::channel();
         let (model, adapter) = (model.clone(), adapter.clone());
         engine.send(Command::Adapter { model, adapter, reply });
-        match tokio::time::timeout(ADAPTER_PATIENCE, answer).await {
+        match tokio::time::timeout(ADAPTER_TIMEOUT, answer).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) | Err(_) => WishReply::Unavailable,
         }
     }
 
-    /// Returns the demand of this node's failure domain, if this node decides for it.
+    /// Returns the demand for each model in this node's failure domain, or nothing if this node does
+    /// not lead it.
     pub fn demand(&self, cx: &NodeContext) -> Vec<(Name, f64)> {
         let controllers = self.0.lock().expect("no holder panics");
         let Some(controller) = controllers.get(&cx.settings.failure_domain) else {
@@ -114,7 +119,7 @@
         controller.planner.lock().expect("no holder panics").demand.demand().into_iter().collect()
     }
 
-    /// Notes that requests wait for a model, and tells how long it will take.
+    /// Records that requests wait for a model, and returns how long a load of it takes.
     pub fn request_model(
         &self,
         cx: &NodeContext,
@@ -132,7 +137,12 @@
         else {
             return WishReply::Unavailable;
         };
-        controller.planner.lock().expect("no holder panics").wishes.insert(model.clone(), cx.now());
+        controller
+            .planner
+            .lock()
+            .expect("no holder panics")
+            .wanted_models
+            .insert(model.clone(), cx.now());
         let sources = view
             .servers
             .values()
@@ -144,32 +154,32 @@
 }
 
 impl DomainController {
-    /// Makes a desk for a duty that was won.
-    pub fn new(domain: Name, lease: u64, duty: Duty) -> Self {
+    /// Creates the controller of a failure domain whose leadership was acquired.
+    pub fn new(domain: Name, lease: u64, leadership: Duty) -> Self {
         Self {
             domain,
             cancel: CancellationToken::new(),
             lease: AtomicU64::new(lease),
-            duty: Mutex::new(duty),
+            leadership: Mutex::new(leadership),
             engines: Mutex::default(),
             planner: Mutex::default(),
         }
     }
 
-    /// Returns the fencing token if an order may be given now.
+    /// Returns the fencing token if this node may send orders now.
     pub fn active_token(&self, cx: &NodeContext) -> Option<u64> {
         if cx.stopping.is_cancelled() || self.cancel.is_cancelled() {
             return None;
         }
-        self.duty.lock().expect("no holder panics").may_order(cx.lease_clock.now())
+        self.leadership.lock().expect("no holder panics").may_order(cx.lease_clock.now())
     }
 
-    /// Notes a renewal that was sent at this time of the lease clock.
-    pub fn renewed(&self, asked_at: Instant) {
-        self.duty.lock().expect("no holder panics").renewed(asked_at);
+    /// Records a renewal of the lease; `sent_at` is the time of its request by the lease clock.
+    pub fn record_renewal(&self, sent_at: Instant) {
+        self.leadership.lock().expect("no holder panics").renewed(sent_at);
     }
 
-    /// Returns the id of the store's lease.
+    /// Returns the id of the leadership's lease.
     pub fn lease_id(&self) -> u64 {
         self.lease.load(Ordering::Relaxed)
     }
@@ -179,13 +189,14 @@
         self.engines.lock().expect("no holder panics").get(server).cloned()
     }
 
-    /// Returns the handles of all engines.
-    pub fn handles(&self) -> MutexGuard<'_, HashMap<Name, EngineHandle>> {
+    /// Locks the handles of all engines.
+    pub fn engines(&self) -> MutexGuard<'_, HashMap<Name, EngineHandle>> {
         self.engines.lock().expect("no holder panics")
     }
 
-    /// Starts tasks for new engines and drops those of engines that are gone.
-    pub fn follow_servers(self: &Arc<Self>, cx: &Arc<NodeContext>, servers: &[Arc<BackendServer>]) {
+    /// Starts tasks for new engines, drops those of engines that are gone, and tells the others when
+    /// their server has restarted.
+    pub fn update_engines(self: &Arc<Self>, cx: &Arc<NodeContext>, servers: &[Arc<BackendServer>]) {
         let mut engines = self.engines.lock().expect("no holder panics");
         engines.retain(|id, _| servers.iter().any(|server| server.id == *id));
         for server in servers {
@@ -202,7 +213,7 @@
 }
 
 impl DomainController {
-    /// Returns what the desk knows of its engines, for the status page.
+    /// Returns the known contents and the move in progress of every engine, for the status page.
     pub fn engine_states(&self) -> Vec<(Name, EngineLedger, Option<Move>)> {
         let engines = self.engines.lock().expect("no holder panics");
         let known = engines.iter();
--- a/savoryport/src/node/leadership.rs
+++ b/savoryport/src/node/leadership.rs
@@ -1,4 +1,7 @@
-//! Takes, renews and gives up the duty of a failure domain at the store.
+//! Acquires, renews and releases the leadership of failure domains in the store.
+//!
+//! Only the leader of a failure domain sends orders to the servers there. Leadership is a key in the
+//! store that is bound to a lease; the key and the log call it the "duty" of the domain.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -10,60 +13,62 @@
 
 use super::context::NodeContext;
 use super::domain_controller::DomainController;
-use super::store_reader::duty_key;
+use super::store_reader::leader_key;
 use super::view::DomainLeader;
 
-/// The pause between two looks at the duties.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// Interval between checks for failure domains without a leader.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Nodes that could take a duty try at a random time within this span.
-const TRY_SPREAD: Duration = Duration::from_millis(150);
+/// Upper bound of the random delay that spreads the attempts of competing nodes.
+const CAMPAIGN_JITTER: Duration = Duration::from_millis(150);
 
-/// How much later a VM with a whole core tries; one with a part of a core waits in proportion, so that
-/// the strongest VM gets the duty.
-const HANDICAP: Duration = Duration::from_millis(40);
+/// Delay before a VM with a whole core tries to become the leader. The delay is inversely
+/// proportional to the CPU share, so that the VM with the most CPU wins.
+const CAMPAIGN_DELAY: Duration = Duration::from_millis(40);
 
-/// The share of a core below which VMs wait no longer.
+/// CPU share, as a fraction of a core, below which the delay no longer grows.
 const MIN_CPU_SHARE: f64 = 0.1;
 
-/// A failure domain whose own nodes do not take their duty for this long is taken care of by the
-/// holder of another one.
-const ADOPT_AFTER: Duration = Duration::from_secs(6);
+/// A failure domain that has had no leader for this long may be taken over by the leader of another
+/// domain.
+const TAKEOVER_AFTER: Duration = Duration::from_secs(6);
 
-/// Renewals within one time to live.
+/// Number of renewals sent within one time to live of the lease.
 const RENEWALS_PER_LEASE: u32 = 3;
 
-/// What the taker of duties remembers.
+/// The state of this node's attempts to become a leader.
 #[derive(Debug, Default)]
-struct Vacancies {
-    since: HashMap<Name, Instant>,
-    /// Failure domains that had a holder, whose last order may have been a moment ago.
-    held_before: HashSet<Name>,
+struct Campaign {
+    vacant_since: HashMap<Name, Instant>,
+    /// Failure domains known to have had a leader, which may have sent an order just before it lost
+    /// the leadership.
+    led_before: HashSet<Name>,
 }
 
-/// Takes the duties that nobody holds, until the node stops.
+/// Acquires vacant leaderships until the node stops, then releases all of them.
 pub async fn run(cx: Arc<NodeContext>) {
-    let mut vacancies = Vacancies::default();
+    let mut campaign = Campaign::default();
     while !cx.stopping.is_cancelled() {
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         if !cx.store_health.is_available(cx.now()) {
             continue;
         }
-        for domain in vacancies.open(&cx) {
-            let handicap = HANDICAP.div_f64(cx.settings.cpu_share.max(MIN_CPU_SHARE));
-            tokio::time::sleep(handicap + TRY_SPREAD.mul_f64(cx.draw())).await;
+        for domain in campaign.winnable_domains(&cx) {
+            let delay = CAMPAIGN_DELAY.div_f64(cx.settings.cpu_share.max(MIN_CPU_SHARE));
+            tokio::time::sleep(delay + CAMPAIGN_JITTER.mul_f64(cx.draw())).await;
             if cx.fleet.read(|state| state.leader(&domain).is_some()) {
                 continue;
             }
-            vacancies.try_take(&cx, &domain).await;
+            campaign.try_acquire(&cx, &domain).await;
         }
     }
-    give_up_all(&cx).await;
+    release_all(&cx).await;
 }
 
-impl Vacancies {
-    /// Returns the failure domains whose duty this node should try to take.
-    fn open(&mut self, cx: &NodeContext) -> Vec<Name> {
+impl Campaign {
+    /// Returns the vacant failure domains that this node may lead: its own, and as the leader of
+    /// another domain also those that have been vacant for [`TAKEOVER_AFTER`].
+    fn winnable_domains(&mut self, cx: &NodeContext) -> Vec<Name> {
         let (own, now) = (&cx.settings.failure_domain, cx.now());
         let view = cx.fleet.view();
         let Some(deployment) = view.deployment() else { return Vec::new() };
@@ -77,29 +82,29 @@
             .map(|server| server.failure_domain.clone())
             .collect();
         domains.insert(own.clone());
-        self.held_before.extend(view.leaders.keys().cloned());
-        self.since.retain(|domain, _| !view.leaders.contains_key(domain));
+        self.led_before.extend(view.leaders.keys().cloned());
+        self.vacant_since.retain(|domain, _| !view.leaders.contains_key(domain));
         let vacant = domains.into_iter().filter(|domain| !view.leaders.contains_key(domain));
         vacant
             .filter(|domain| {
-                let since = *self.since.entry(domain.clone()).or_insert(now);
-                let is_adopted = cx.controllers.leads_any() && now - since > ADOPT_AFTER;
-                !cx.controllers.leads(domain) && (domain == own || is_adopted)
+                let since = *self.vacant_since.entry(domain.clone()).or_insert(now);
+                let may_take_over = cx.controllers.leads_any() && now - since > TAKEOVER_AFTER;
+                !cx.controllers.leads(domain) && (domain == own || may_take_over)
             })
             .collect()
     }
 
-    async fn try_take(&mut self, cx: &Arc<NodeContext>, domain: &Name) {
-        let asked_at = cx.lease_clock.now();
+    async fn try_acquire(&mut self, cx: &Arc<NodeContext>, domain: &Name) {
+        let sent_at = cx.lease_clock.now();
         let time_to_live = cx.settings.duty_lease();
         cx.metrics.store_calls.inc();
         let lease = match cx.store.grant(time_to_live).await {
             Ok(lease) => lease,
-            Err(err) => return log::warn!(err:% = err; "no lease for the duty"),
+            Err(err) => return log::warn!(err:% = err; "cannot get a lease for the leadership"),
         };
         let leader = DomainLeader { vm: cx.settings.vm.clone(), peers: cx.settings.peers_listen() };
         let value = serde_json::to_vec(&leader).expect("plain fields serialize");
-        let key = duty_key(domain);
+        let key = leader_key(domain);
         let transaction = Transaction {
             expected: vec![(key.clone(), 0)],
             puts: vec![(key, value, lease)],
@@ -108,68 +113,69 @@
         cx.metrics.store_calls.inc();
         match cx.store.commit(&transaction).await {
             Ok(Committed::At(revision)) => {
-                let is_first = cx.settings.first_start && !self.held_before.contains(domain);
-                let hand_over = if is_first {
+                let is_first_start = cx.settings.first_start && !self.led_before.contains(domain);
+                let handover_delay = if is_first_start {
                     Duration::ZERO
                 } else {
                     Duration::from_millis(cx.settings.order_turn_ms)
                 };
-                self.held_before.insert(domain.clone());
-                let mut duty = Duty::new(time_to_live);
-                duty.won(revision, asked_at, cx.lease_clock.now(), hand_over);
-                log::info!(domain = &**domain, token = revision, hand_over_ms = hand_over.as_millis() as u64; "duty taken");
-                let controller =
-                    cx.controllers.open(cx, DomainController::new(domain.clone(), lease, duty));
+                self.led_before.insert(domain.clone());
+                let mut leadership = Duty::new(time_to_live);
+                leadership.won(revision, sent_at, cx.lease_clock.now(), handover_delay);
+                log::info!(domain = &**domain, token = revision, hand_over_ms = handover_delay.as_millis() as u64; "duty taken");
+                let controller = cx
+                    .controllers
+                    .open(cx, DomainController::new(domain.clone(), lease, leadership));
                 cx.fleet.update(|state| state.set_leader(domain, Some(leader)));
-                tokio::spawn(keep(cx.clone(), controller));
+                tokio::spawn(keep_leadership(cx.clone(), controller));
             }
             Ok(Committed::Conflict) => {
-                self.held_before.insert(domain.clone());
+                self.led_before.insert(domain.clone());
                 end_lease(cx, lease).await;
             }
-            // The write may still take effect; without its lease it cannot.
+            // The write may still take effect, but not once its lease has ended.
             Err(err) => {
-                log::warn!(domain = &**domain, err:% = err; "duty not taken");
+                log::warn!(domain = &**domain, err:% = err; "leadership not acquired");
                 end_lease(cx, lease).await;
             }
         }
     }
 }
 
-/// Renews the lease of a desk until it ends, then closes the desk.
-async fn keep(cx: Arc<NodeContext>, controller: Arc<DomainController>) {
-    let pause = cx.settings.duty_lease() / RENEWALS_PER_LEASE;
+/// Renews the lease of a leadership until the lease ends, then closes its controller.
+async fn keep_leadership(cx: Arc<NodeContext>, controller: Arc<DomainController>) {
+    let interval = cx.settings.duty_lease() / RENEWALS_PER_LEASE;
     loop {
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
         if controller.cancel.is_cancelled() {
             return;
         }
-        let asked_at = cx.lease_clock.now();
+        let sent_at = cx.lease_clock.now();
         cx.metrics.store_calls.inc();
         match cx.store.keep(controller.lease_id()).await {
             Ok(()) => {
-                controller.renewed(asked_at);
+                controller.record_renewal(sent_at);
                 cx.store_health.record_answer(cx.now());
             }
             Err(StoreError::LeaseEnded) => break,
-            Err(err) => log::debug!(domain = &*controller.domain, err:% = err; "duty not renewed"),
+            Err(err) => log::debug!(domain = &*controller.domain, err:% = err; "lease not renewed"),
         }
     }
     log::warn!(domain = &*controller.domain; "duty lost");
     cx.controllers.close(&controller);
     cx.fleet.update(|state| {
-        let is_own =
+        let is_this_node =
             state.leader(&controller.domain).is_some_and(|leader| leader.vm == cx.settings.vm);
-        if is_own {
+        if is_this_node {
             state.set_leader(&controller.domain, None);
         }
     });
 }
 
-async fn give_up_all(cx: &NodeContext) {
+async fn release_all(cx: &NodeContext) {
     for controller in cx.controllers.all() {
         cx.controllers.close(&controller);
-        log::info!(domain = &*controller.domain; "duty given up");
+        log::info!(domain = &*controller.domain; "leadership released");
         end_lease(cx, controller.lease_id()).await;
     }
 }
@@ -177,7 +183,7 @@
 async fn end_lease(cx: &NodeContext, lease: u64) {
     cx.metrics.store_calls.inc();
     if let Err(err) = cx.store.end_lease(lease).await {
-        // It ends by itself after its time to live.
+        // The lease expires anyway after its time to live.
         log::debug!(lease = lease, err:% = err; "lease not ended");
     }
 }
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -36,7 +36,7 @@
     /// Models that no server holds, and since when.
     missing_since: HashMap<Name, Instant>,
     /// Models that requests wait for, and since when.
-    pub wishes: HashMap<Name, Instant>,
+    pub wanted_models: HashMap<Name, Instant>,
     loaded_at: HashMap<Name, HashMap<Name, Instant>>,
 }
 
@@ -56,7 +56,7 @@
                 .filter(|server| server.failure_domain == controller.domain && server.is_ready())
                 .cloned()
                 .collect();
-            controller.follow_servers(&cx, &servers);
+            controller.update_engines(&cx, &servers);
             if controller.active_token(&cx).is_some() {
                 note_copy_uses(&cx, &controller);
                 look(&cx, &controller, &view, &service.name, class, &servers);
@@ -66,7 +66,7 @@
 }
 
 fn note_copy_uses(cx: &NodeContext, controller: &DomainController) {
-    let engines = controller.handles();
+    let engines = controller.engines();
     for engine in engines.values() {
         engine.ledger().clear_uses();
     }
@@ -94,7 +94,7 @@
         let work = cx.peer_reports.take_work();
         planner.demand.observe(&work, now);
     }
-    planner.wishes.retain(|_, at| now.saturating_duration_since(*at) < WISH_LIFETIME);
+    planner.wanted_models.retain(|_, at| now.saturating_duration_since(*at) < WISH_LIFETIME);
     let holders = holders_by_model(view, service);
     let missing = planner.missing(view, service, class, &controller.domain, &holders, now);
     let demand = planner.demand_with_wishes();
@@ -150,7 +150,7 @@
         for model in class.models.keys().filter(|model| !holders.contains_key(*model)) {
             let since = *self.missing_since.entry(model.clone()).or_insert(now);
             let is_owned = owner(model, domains.iter()).is_some_and(|owner| &**owner == domain);
-            if self.wishes.contains_key(model) {
+            if self.wanted_models.contains_key(model) {
                 missing.insert(model.clone(), Missing::Awaited);
             } else if is_owned && now.saturating_duration_since(since) >= RESTORE_AFTER {
                 missing.insert(model.clone(), Missing::Unasked);
@@ -163,7 +163,7 @@
         /// The demand that a wish stands for, enough for a first copy.
         const WISH_DEMAND: f64 = 0.1;
         let mut demand = self.demand.demand();
-        for model in self.wishes.keys() {
+        for model in self.wanted_models.keys() {
             let known = demand.entry(model.clone()).or_default();
             *known = known.max(WISH_DEMAND);
         }
--- a/savoryport/src/node/store_reader.rs
+++ b/savoryport/src/node/store_reader.rs
@@ -17,7 +17,7 @@
 use super::view::{AcceptedConfig, DomainLeader};
 
 /// The store's prefix of the duties, one key for each failure domain.
-pub const DUTY_PREFIX: &str = "savoryport/duty/";
+pub const LEADER_KEY_PREFIX: &str = "savoryport/duty/";
 
 /// The store counts as away when it has not answered for this long.
 const AWAY_AFTER: Duration = Duration::from_millis(1_500);
@@ -159,7 +159,7 @@
         state.registry.replace(servers.collect(), recovering, cx.now());
         let domains: Vec<Name> = state.leaders().keys().cloned().collect();
         for domain in domains {
-            let key = duty_key(&domain);
+            let key = leader_key(&domain);
             if !listing.items.iter().any(|item| item.key == key) {
                 state.set_leader(&domain, None);
             }
@@ -182,7 +182,7 @@
         }
     } else if item.key == CONFIG_KEY {
         accept_config(state, &item.value, "store");
-    } else if let Some(domain) = item.key.strip_prefix(DUTY_PREFIX) {
+    } else if let Some(domain) = item.key.strip_prefix(LEADER_KEY_PREFIX) {
         match serde_json::from_slice::<DomainLeader>(&item.value) {
             Ok(leader) => state.set_leader(&domain.into(), Some(leader)),
             Err(err) => log::warn!(domain = domain, err:% = err; "unreadable duty"),
@@ -206,7 +206,7 @@
         } else if state.registry.remove(id) {
             log::info!(server = id; "server gone");
         }
-    } else if let Some(domain) = key.strip_prefix(DUTY_PREFIX) {
+    } else if let Some(domain) = key.strip_prefix(LEADER_KEY_PREFIX) {
         state.set_leader(&domain.into(), None);
     }
 }
@@ -232,6 +232,6 @@
 }
 
 /// Returns the store's key of a failure domain's duty.
-pub fn duty_key(failure_domain: &str) -> String {
-    format!("{DUTY_PREFIX}{failure_domain}")
+pub fn leader_key(failure_domain: &str) -> String {
+    format!("{LEADER_KEY_PREFIX}{failure_domain}")
 }
