--- a/savoryport/src/node/domain_controller.rs
+++ b/savoryport/src/node/domain_controller.rs
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::context::NodeContext;
-use super::engine::{Command, EngineHandle};
+use super::engine::{EngineCommand, EngineHandle};
 use super::planner::{Planner, plan};
 use super::rpc::WishReply;
 
@@ -102,7 +102,7 @@
         let Some(engine) = controller.engine(server) else { return WishReply::Unavailable };
         let (reply, answer) = oneshot::channel();
         let (model, adapter) = (model.clone(), adapter.clone());
-        engine.send(Command::Adapter { model, adapter, reply });
+        engine.send(EngineCommand::EnsureAdapter { model, adapter, reply });
         match tokio::time::timeout(ADAPTER_TIMEOUT, answer).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) | Err(_) => WishReply::Unavailable,
@@ -205,8 +205,8 @@
                 engines.insert(server.id.clone(), handle);
             }
             let Some(engine) = engines.get(&server.id) else { continue };
-            if engine.ledger().is_of_other_start(server.incarnation) {
-                engine.send(Command::Restarted);
+            if engine.contents().is_of_other_start(server.incarnation) {
+                engine.send(EngineCommand::Restarted);
             }
         }
     }
@@ -217,6 +217,8 @@
     pub fn engine_states(&self) -> Vec<(Name, EngineLedger, Option<Move>)> {
         let engines = self.engines.lock().expect("no holder panics");
         let known = engines.iter();
-        known.map(|(id, engine)| (id.clone(), engine.ledger().clone(), engine.moving())).collect()
+        known
+            .map(|(id, engine)| (id.clone(), engine.contents().clone(), engine.current_move()))
+            .collect()
     }
 }
--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -1,4 +1,8 @@
-//! Gives orders to one model engine, one after the other.
+//! The task that sends orders to one model engine, one at a time.
+//!
+//! An engine reports its contents and the number of orders that it has accepted since its start. Each
+//! order names the number that it expects, so that the engine refuses an order that was decided from
+//! outdated contents.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -17,115 +21,118 @@
 use super::fleet::Residency;
 use super::rpc::WishReply;
 
-/// The time for one report.
+/// Timeout for reading one report of an engine.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The time for the answer to an order. Servers answer at once; an order without an answer is given
-/// again, and the server carries out only one of the two.
+/// Timeout for the answer to an order. Servers answer at once. An order without an answer is sent
+/// again, and the server executes only one of the two.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The pause between reports while a server is busy or its contents are unknown. Reports lag by some
-/// hundred milliseconds, so asking more often tells nothing new.
-const REPORT_PAUSE: Duration = Duration::from_millis(150);
+/// Interval between reports while a server is busy or its contents are unknown. Reports lag by a few
+/// hundred milliseconds, so polling more often returns nothing new.
+const REPORT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Reports after which a server whose contents stay unknown is left alone for now.
-const MAX_REPORTS: usize = 20;
+/// Number of attempts to read a server's contents, or to get an order accepted, before giving up for
+/// now.
+const MAX_ATTEMPTS: usize = 20;
 
-/// Tries for one adapter, each with an order.
-const MAX_ADAPTER_TRIES: usize = 4;
+/// Number of attempts to load one adapter, each of which sends at most one order.
+const MAX_ADAPTER_ATTEMPTS: usize = 4;
 
-/// Followers have heard of a withdrawn model after this time, so that its unload meets no request.
-const WITHDRAWAL_NOTICE: Duration = Duration::from_millis(300);
+/// Time within which followers learn that a model is withdrawn; after it no new request reaches the
+/// model while it unloads.
+const WITHDRAWAL_DELAY: Duration = Duration::from_millis(300);
 
-/// Requests at a withdrawn model are waited for this long.
-const MAX_DRAIN: Duration = Duration::from_secs(5);
+/// How long an unload waits for the requests that still use a withdrawn model.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The pause between two looks at the requests of a withdrawn model.
-const DRAIN_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between checks for requests that still use a withdrawn model.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An unload that meets no requests is done after this time; a load before that is refused.
-const UNLOAD_PAUSE: Duration = Duration::from_millis(40);
+/// Time that an unload takes when no request uses the model. The engine refuses a load before that.
+const UNLOAD_TIME: Duration = Duration::from_millis(40);
 
-/// A load that is not done after this many times its expected duration is looked up again.
-const MAX_LOAD_FACTOR: u32 = 4;
+/// A load that takes longer than this multiple of its expected duration is considered failed, and the
+/// contents of the server are read again.
+const LOAD_TIMEOUT_FACTOR: u32 = 4;
 
-/// What an engine's task is asked to do.
+/// A command to the task of an engine.
 #[derive(Debug)]
-pub enum Command {
-    /// Bring an adapter into memory.
-    Adapter {
-        /// Its model.
+pub enum EngineCommand {
+    /// Load an adapter unless the engine holds it.
+    EnsureAdapter {
+        /// The base model of the adapter.
         model: Name,
         /// The adapter.
         adapter: Name,
-        /// Where the outcome goes.
+        /// Receives the outcome.
         reply: oneshot::Sender<WishReply>,
     },
-    /// Drop some models and load another.
+    /// Unload some models, then load another one.
     Move(Move),
-    /// Look what the server holds since it started anew.
+    /// Read the contents of the server again, because it has restarted.
     Restarted,
 }
 
-/// An engine as its desk sees it.
+/// The controller's handle to the task of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineHandle {
-    commands: mpsc::UnboundedSender<Command>,
-    ledger: Arc<Mutex<EngineLedger>>,
-    /// The move under way.
-    moving: Arc<Mutex<Option<Move>>>,
+    commands: mpsc::UnboundedSender<EngineCommand>,
+    contents: Arc<Mutex<EngineLedger>>,
+    /// The move in progress.
+    current_move: Arc<Mutex<Option<Move>>>,
 }
 
 impl EngineHandle {
     /// Starts the task of an engine.
     pub fn start(cx: &Arc<NodeContext>, controller: &Arc<DomainController>, server: &Name) -> Self {
         let (commands, rx) = mpsc::unbounded_channel();
-        let handle = Self { commands, ledger: Arc::default(), moving: Arc::default() };
+        let handle = Self { commands, contents: Arc::default(), current_move: Arc::default() };
         let task = EngineTask {
             cx: cx.clone(),
             controller: controller.clone(),
             server: server.clone(),
-            ledger: handle.ledger.clone(),
-            moving: handle.moving.clone(),
+            contents: handle.contents.clone(),
+            current_move: handle.current_move.clone(),
             draining: None,
             loading: None,
             withdrawn: Vec::new(),
-            arriving: HashMap::new(),
-            checked_at: None,
+            pending_adapters: HashMap::new(),
+            restart_checked_at: None,
         };
         tokio::spawn(controller.cancel.clone().run_until_cancelled_owned(task.run(rx)));
         handle
     }
 
-    /// Hands a command over; one for an engine that is gone is dropped.
-    pub fn send(&self, command: Command) {
-        if let Command::Move(wanted) = &command {
-            *self.moving.lock().expect("no holder panics") = Some(wanted.clone());
+    /// Queues a command; it is dropped if the task has ended.
+    pub fn send(&self, command: EngineCommand) {
+        if let EngineCommand::Move(planned) = &command {
+            *self.current_move.lock().expect("no holder panics") = Some(planned.clone());
         }
         if self.commands.send(command).is_err() {
-            *self.moving.lock().expect("no holder panics") = None;
+            *self.current_move.lock().expect("no holder panics") = None;
         }
     }
 
-    /// Returns the move under way.
-    pub fn moving(&self) -> Option<Move> {
-        self.moving.lock().expect("no holder panics").clone()
+    /// Returns the move in progress.
+    pub fn current_move(&self) -> Option<Move> {
+        self.current_move.lock().expect("no holder panics").clone()
     }
 
-    /// Locks the ledger for a moment.
-    pub fn ledger(&self) -> MutexGuard<'_, EngineLedger> {
-        self.ledger.lock().expect("no holder panics")
+    /// Locks what is known of the engine's contents.
+    pub fn contents(&self) -> MutexGuard<'_, EngineLedger> {
+        self.contents.lock().expect("no holder panics")
     }
 }
 
-/// A move whose displaced models still serve requests.
+/// A move that waits for the last requests of the models to unload.
 #[derive(Debug)]
 struct Draining {
-    wanted: Move,
+    planned: Move,
     since: Instant,
 }
 
-/// A load that the server accepted.
+/// A load of a model that the server has accepted.
 #[derive(Debug)]
 struct Loading {
     model: Name,
@@ -137,85 +144,88 @@
     cx: Arc<NodeContext>,
     controller: Arc<DomainController>,
     server: Name,
-    ledger: Arc<Mutex<EngineLedger>>,
-    moving: Arc<Mutex<Option<Move>>>,
+    contents: Arc<Mutex<EngineLedger>>,
+    current_move: Arc<Mutex<Option<Move>>>,
     draining: Option<Draining>,
     loading: Option<Loading>,
-    /// Models that are about to be dropped.
+    /// Models that get no new requests because they are about to be unloaded.
     withdrawn: Vec<Name>,
-    /// Adapters that the server accepted, and when they can be used.
-    arriving: HashMap<(Name, Name), Instant>,
-    /// When the contents were last looked at after a restart.
-    checked_at: Option<Instant>,
+    /// Adapters whose load the server has accepted, by model and adapter, with the time from which
+    /// they can be used.
+    pending_adapters: HashMap<(Name, Name), Instant>,
+    /// When the contents were last read because of a restart.
+    restart_checked_at: Option<Instant>,
 }
 
 impl EngineTask {
-    async fn run(mut self, mut rx: mpsc::UnboundedReceiver<Command>) {
-        self.learn_contents().await;
+    async fn run(mut self, mut rx: mpsc::UnboundedReceiver<EngineCommand>) {
+        self.fetch_contents().await;
         loop {
-            let next_look = self.next_look();
-            let look = async {
-                match next_look {
+            let next_check = self.next_check();
+            let check = async {
+                match next_check {
                     Some(wait) => tokio::time::sleep(wait).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
                 command = rx.recv() => match command {
-                    Some(Command::Adapter { model, adapter, reply }) => {
-                        self.bring_adapter(&model, &adapter, reply).await;
+                    Some(EngineCommand::EnsureAdapter { model, adapter, reply }) => {
+                        self.ensure_adapter(&model, &adapter, reply).await;
                     }
-                    Some(Command::Move(wanted)) => self.withdraw(wanted),
-                    Some(Command::Restarted) => self.look_after_restart().await,
+                    Some(EngineCommand::Move(planned)) => self.start_draining(planned),
+                    Some(EngineCommand::Restarted) => self.reload_after_restart().await,
                     None => return,
                 },
-                () = look => self.look().await,
+                () = check => self.check_progress().await,
             }
         }
     }
 
-    fn ledger(&self) -> MutexGuard<'_, EngineLedger> {
-        self.ledger.lock().expect("no holder panics")
+    fn contents(&self) -> MutexGuard<'_, EngineLedger> {
+        self.contents.lock().expect("no holder panics")
     }
 
-    /// Returns when a move under way is to be looked at again.
-    fn next_look(&self) -> Option<Duration> {
+    /// Returns the time until the next check of the move in progress, if there is one.
+    fn next_check(&self) -> Option<Duration> {
         if self.draining.is_some() {
-            return Some(DRAIN_PAUSE);
+            return Some(DRAIN_CHECK_INTERVAL);
         }
         let loading = self.loading.as_ref()?;
         let left = loading.expected.saturating_sub(self.cx.now() - loading.since);
-        Some(left.max(REPORT_PAUSE))
+        Some(left.max(REPORT_INTERVAL))
     }
 
-    async fn look(&mut self) {
+    async fn check_progress(&mut self) {
         match self.draining.take() {
-            Some(draining) if self.is_drained(&draining) => self.carry_out(draining.wanted).await,
+            Some(draining) if self.is_drained(&draining) => {
+                self.execute_move(draining.planned).await
+            }
             Some(draining) => self.draining = Some(draining),
-            None => self.look_at_load().await,
+            None => self.check_load().await,
         }
     }
 
-    /// Tells that models are about to be dropped; their requests end meanwhile. An unload that meets
-    /// requests would keep the server from all other orders until they end.
-    fn withdraw(&mut self, wanted: Move) {
-        self.withdrawn.extend(wanted.unload.iter().cloned());
-        self.draining = Some(Draining { wanted, since: self.cx.now() });
-        self.publish();
+    /// Withdraws the models that a move unloads, so that their requests end before the unload. An
+    /// unload of a model in use would block all other orders to the server until its requests end.
+    fn start_draining(&mut self, planned: Move) {
+        self.withdrawn.extend(planned.unload.iter().cloned());
+        self.draining = Some(Draining { planned, since: self.cx.now() });
+        self.publish_residency();
     }
 
     fn is_drained(&self, draining: &Draining) -> bool {
-        let unload = &draining.wanted.unload;
+        let unload = &draining.planned.unload;
         let elapsed = self.cx.now() - draining.since;
-        let is_idle = || unload.iter().all(|model| self.ledger().requests(model) == 0);
-        unload.is_empty() || elapsed >= MAX_DRAIN || (elapsed >= WITHDRAWAL_NOTICE && is_idle())
+        let is_idle = || unload.iter().all(|model| self.contents().requests(model) == 0);
+        unload.is_empty() || elapsed >= DRAIN_TIMEOUT || (elapsed >= WITHDRAWAL_DELAY && is_idle())
     }
 
     fn end_move(&self) {
-        *self.moving.lock().expect("no holder panics") = None;
+        *self.current_move.lock().expect("no holder panics") = None;
     }
 
-    /// Returns the server and the specification of its engines, while both exist.
+    /// Returns the server and the specification of its engine class, while both exist.
     fn target(&self) -> Option<(Arc<BackendServer>, EngineClass)> {
         let view = self.cx.fleet.view();
         let server = view.servers.get(&self.server)?.clone();
@@ -224,62 +234,64 @@
     }
 
     /// Reads reports until the contents are known; returns whether they are.
-    async fn learn_contents(&mut self) -> bool {
-        for _ in 0..MAX_REPORTS {
-            if self.ledger().expected_orders().is_some() {
+    async fn fetch_contents(&mut self) -> bool {
+        for _ in 0..MAX_ATTEMPTS {
+            if self.contents().expected_orders().is_some() {
                 return true;
             }
             let Some((server, _)) = self.target() else { return false };
             match engine::report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await {
                 Ok(report) => {
                     self.cx.metrics.reports.inc();
-                    self.ledger().reset(&report, self.cx.now());
-                    self.publish();
+                    self.contents().reset(&report, self.cx.now());
+                    self.publish_residency();
+                }
+                Err(err) => {
+                    log::debug!(server = &*self.server, err:% = err; "cannot read the report")
                 }
-                Err(err) => log::debug!(server = &*self.server, err:% = err; "no report"),
             }
-            if self.ledger().expected_orders().is_none() {
-                tokio::time::sleep(REPORT_PAUSE).await;
+            if self.contents().expected_orders().is_none() {
+                tokio::time::sleep(REPORT_INTERVAL).await;
             }
         }
         false
     }
 
-    /// Replaces what is known of a server by what it holds since its restart. Until then its former
-    /// copies would count as copies, and nobody would bring them back.
-    async fn look_after_restart(&mut self) {
+    /// Reads the contents of a restarted server. Without this, the models that it held before would
+    /// still count as copies, and nobody would load them again.
+    async fn reload_after_restart(&mut self) {
         let now = self.cx.now();
-        let is_recent = self.checked_at.is_some_and(|at| now - at < REPORT_PAUSE);
+        let is_recent = self.restart_checked_at.is_some_and(|at| now - at < REPORT_INTERVAL);
         let Some((server, _)) = self.target() else { return };
-        if is_recent || !self.ledger().is_of_other_start(server.incarnation) {
+        if is_recent || !self.contents().is_of_other_start(server.incarnation) {
             return;
         }
-        self.checked_at = Some(now);
+        self.restart_checked_at = Some(now);
         match engine::report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await {
             Ok(report) if report.incarnation == server.incarnation => {
                 log::info!(
                     server = &*self.server, incarnation = report.incarnation;
                     "server restarted"
                 );
-                self.ledger().reset(&report, self.cx.now());
-                self.forget_moves();
-                self.publish();
+                self.contents().reset(&report, self.cx.now());
+                self.reset_progress();
+                self.publish_residency();
             }
             Ok(_) => {}
-            Err(err) => log::debug!(server = &*self.server, err:% = err; "no report"),
+            Err(err) => log::debug!(server = &*self.server, err:% = err; "cannot read the report"),
         }
     }
 
-    fn forget_moves(&mut self) {
+    fn reset_progress(&mut self) {
         self.draining = None;
         self.loading = None;
         self.withdrawn.clear();
-        self.arriving.clear();
+        self.pending_adapters.clear();
         self.end_move();
     }
 
-    /// Gives an order if this node may; returns the server's answer.
-    async fn give(
+    /// Sends an order if this node is the active leader, and returns the server's answer.
+    async fn send_order(
         &mut self,
         order: &Order,
         busy_for: Duration,
@@ -287,9 +299,9 @@
         let (server, class) = self.target().ok_or(OrderObstacle::Unknown)?;
         let token = self.controller.active_token(&self.cx).ok_or(OrderObstacle::Unknown)?;
         let expected = {
-            let ledger = self.ledger();
-            ledger.check(order, &class, self.cx.now())?;
-            ledger.expected_orders().ok_or(OrderObstacle::Unknown)?
+            let contents = self.contents();
+            contents.check(order, &class, self.cx.now())?;
+            contents.expected_orders().ok_or(OrderObstacle::Unknown)?
         };
         let authority = engine::Authority {
             holder: &self.cx.settings.vm,
@@ -298,7 +310,7 @@
         };
         let answer =
             engine::order(&self.cx.order_pool, &server, order, authority, ORDER_TIMEOUT).await;
-        self.ledger().apply(order, answer, busy_for, self.cx.now());
+        self.contents().apply(order, answer, busy_for, self.cx.now());
         self.cx.metrics.note_order(order.name(), answer);
         log::info!(
             server = &*self.server, order = order.name(), model = &**order.model(),
@@ -307,54 +319,55 @@
         Ok(answer)
     }
 
-    async fn bring_adapter(
+    async fn ensure_adapter(
         &mut self,
         model: &Name,
         adapter: &Name,
         reply: oneshot::Sender<WishReply>,
     ) {
-        let outcome = self.try_adapter(model, adapter).await;
+        let outcome = self.load_adapter(model, adapter).await;
         let key = (model.clone(), adapter.clone());
-        let ready_at = self.arriving.get(&key).copied();
-        let (cx, server, ledger) = (self.cx.clone(), self.server.clone(), self.ledger.clone());
-        // The answer waits for the adapter, the next order does not.
+        let ready_at = self.pending_adapters.get(&key).copied();
+        let (cx, server, contents) = (self.cx.clone(), self.server.clone(), self.contents.clone());
+        // The reply is sent once the adapter can be used, but the next order does not wait for that.
         let wait = ready_at.map(|at| at.saturating_duration_since(cx.now()));
         if outcome != WishReply::Ready || wait.is_none_or(|wait| wait.is_zero()) {
-            self.publish();
+            self.publish_residency();
             let _ = reply.send(outcome);
             return;
         }
         tokio::spawn(async move {
             tokio::time::sleep(wait.unwrap_or_default()).await;
-            add_adapter(&cx, &server, &ledger, &key);
+            add_adapter(&cx, &server, &contents, &key);
             let _ = reply.send(outcome);
         });
     }
 
-    async fn try_adapter(&mut self, model: &Name, adapter: &Name) -> WishReply {
+    async fn load_adapter(&mut self, model: &Name, adapter: &Name) -> WishReply {
         let order = Order::LoadAdapter { model: model.clone(), adapter: adapter.clone() };
-        for _ in 0..MAX_ADAPTER_TRIES {
-            if self.ledger().holds_adapter(model, adapter) {
+        for _ in 0..MAX_ADAPTER_ATTEMPTS {
+            if self.contents().holds_adapter(model, adapter) {
                 return WishReply::Ready;
             }
-            if self.loading.is_some() || !self.learn_contents().await {
+            if self.loading.is_some() || !self.fetch_contents().await {
                 return WishReply::Unavailable;
             }
-            match self.give(&order, Duration::ZERO).await {
+            match self.send_order(&order, Duration::ZERO).await {
                 Ok(OrderAnswer::Accepted) => {
                     let load = Duration::from_millis(self.cx.settings.adapter_load_ms);
                     let ready_at = self.cx.now() + load;
-                    self.arriving.insert((model.clone(), adapter.clone()), ready_at);
+                    self.pending_adapters.insert((model.clone(), adapter.clone()), ready_at);
                     return WishReply::Ready;
                 }
                 Ok(OrderAnswer::AlreadyHolds) => return WishReply::Ready,
                 Ok(OrderAnswer::Rejected) => return WishReply::Unavailable,
                 Ok(OrderAnswer::Conflict | OrderAnswer::Unanswered) => {}
                 Err(OrderObstacle::NoPlace) => {
-                    let Some((model, adapter)) = self.ledger().adapter_victim(self.cx.now()) else {
+                    let Some((model, adapter)) = self.contents().adapter_victim(self.cx.now())
+                    else {
                         return WishReply::Unavailable;
                     };
-                    if self.drop_adapter(&model, &adapter).await.is_err() {
+                    if self.unload_adapter(&model, &adapter).await.is_err() {
                         return WishReply::Unavailable;
                     }
                 }
@@ -364,37 +377,39 @@
         WishReply::Unavailable
     }
 
-    async fn drop_adapter(&mut self, model: &Name, adapter: &Name) -> Result<(), OrderObstacle> {
+    async fn unload_adapter(&mut self, model: &Name, adapter: &Name) -> Result<(), OrderObstacle> {
         let order = Order::UnloadAdapter { model: model.clone(), adapter: adapter.clone() };
-        self.arriving.remove(&(model.clone(), adapter.clone()));
-        self.give(&order, Duration::ZERO).await?;
-        self.publish();
+        self.pending_adapters.remove(&(model.clone(), adapter.clone()));
+        self.send_order(&order, Duration::ZERO).await?;
+        self.publish_residency();
         Ok(())
     }
 
-    async fn carry_out(&mut self, wanted: Move) {
-        if let Err(problem) = self.try_move(&wanted).await {
+    async fn execute_move(&mut self, planned: Move) {
+        if let Err(problem) = self.try_move(&planned).await {
             log::info!(
-                server = &*self.server, model = &*wanted.load, problem:% = problem; "move given up"
+                server = &*self.server, model = &*planned.load, problem:% = problem; "move failed"
             );
             self.end_move();
         }
         self.withdrawn.clear();
-        self.publish();
+        self.publish_residency();
     }
 
-    async fn try_move(&mut self, wanted: &Move) -> Result<(), OrderObstacle> {
-        for model in &wanted.unload {
+    async fn try_move(&mut self, planned: &Move) -> Result<(), OrderObstacle> {
+        for model in &planned.unload {
             let order = Order::UnloadModel(model.clone());
-            self.insist(&order, Duration::ZERO).await?;
-            tokio::time::sleep(UNLOAD_PAUSE).await;
+            self.send_until_accepted(&order, Duration::ZERO).await?;
+            tokio::time::sleep(UNLOAD_TIME).await;
         }
         let (_, class) = self.target().ok_or(OrderObstacle::Unknown)?;
-        let spec = class.models.get(&wanted.load).ok_or(OrderObstacle::NoModel)?;
-        let expected = load_time(spec, wanted.source);
-        let order = Order::LoadModel(wanted.load.clone());
-        if self.insist(&order, expected * MAX_LOAD_FACTOR).await? == OrderAnswer::Accepted {
-            let model = wanted.load.clone();
+        let spec = class.models.get(&planned.load).ok_or(OrderObstacle::NoModel)?;
+        let expected = load_time(spec, planned.source);
+        let order = Order::LoadModel(planned.load.clone());
+        if self.send_until_accepted(&order, expected * LOAD_TIMEOUT_FACTOR).await?
+            == OrderAnswer::Accepted
+        {
+            let model = planned.load.clone();
             self.loading = Some(Loading { model, since: self.cx.now(), expected });
         } else {
             self.end_move();
@@ -402,32 +417,33 @@
         Ok(())
     }
 
-    /// Gives an order until the server takes it; each try starts from what the server then holds.
-    async fn insist(
+    /// Sends an order until the server accepts it. Each attempt starts from the contents that the
+    /// server then has.
+    async fn send_until_accepted(
         &mut self,
         order: &Order,
         busy_for: Duration,
     ) -> Result<OrderAnswer, OrderObstacle> {
-        for _ in 0..MAX_REPORTS {
-            if !self.learn_contents().await {
+        for _ in 0..MAX_ATTEMPTS {
+            if !self.fetch_contents().await {
                 return Err(OrderObstacle::Unknown);
             }
-            let answer = self.give(order, busy_for).await?;
+            let answer = self.send_order(order, busy_for).await?;
             match answer {
                 OrderAnswer::Accepted | OrderAnswer::AlreadyHolds => return Ok(answer),
                 OrderAnswer::Rejected => return Err(OrderObstacle::Unknown),
                 OrderAnswer::Unanswered => {}
-                OrderAnswer::Conflict => tokio::time::sleep(REPORT_PAUSE).await,
+                OrderAnswer::Conflict => tokio::time::sleep(REPORT_INTERVAL).await,
             }
         }
         Err(OrderObstacle::Busy)
     }
 
-    /// Asks a server that is loading whether it is done.
-    async fn look_at_load(&mut self) {
+    /// Checks whether the server has finished the load in progress.
+    async fn check_load(&mut self) {
         let Some(loading) = &self.loading else { return };
         let (model, since) = (loading.model.clone(), loading.since);
-        let overdue = self.cx.now() - since > loading.expected * MAX_LOAD_FACTOR;
+        let overdue = self.cx.now() - since > loading.expected * LOAD_TIMEOUT_FACTOR;
         let Some((server, _)) = self.target() else {
             self.loading = None;
             self.end_move();
@@ -438,7 +454,7 @@
         };
         self.cx.metrics.reports.inc();
         let is_done = !report.is_busy && report.models.contains_key(&model);
-        let restarted = report.incarnation != self.ledger().incarnation();
+        let restarted = report.incarnation != self.contents().incarnation();
         if is_done || overdue || restarted {
             log::info!(
                 server = &*self.server, model = &*model, done = is_done,
@@ -446,49 +462,49 @@
             );
             self.loading = None;
             self.end_move();
-            let mut ledger = self.ledger();
+            let mut contents = self.contents();
             if is_done && !restarted {
-                ledger.settled();
+                contents.settled();
             } else {
-                ledger.doubt();
+                contents.doubt();
             }
-            drop(ledger);
-            self.publish();
+            drop(contents);
+            self.publish_residency();
         }
     }
 
-    /// Tells what the server can serve now.
-    fn publish(&mut self) {
+    /// Publishes the models and adapters that the server can serve now.
+    fn publish_residency(&mut self) {
         let now = self.cx.now();
-        self.arriving.retain(|_, at| *at > now);
+        self.pending_adapters.retain(|_, at| *at > now);
         let loading = self.loading.as_ref().map(|loading| &loading.model);
-        let ledger = self.ledger();
-        let mut models: Vec<ResidentModel> = ledger
+        let contents = self.contents();
+        let mut models: Vec<ResidentModel> = contents
             .models()
             .filter(|model| Some(*model) != loading && !self.withdrawn.contains(model))
             .map(|model| ResidentModel { name: model.clone(), version: 0, adapters: Vec::new() })
             .collect();
-        for (model, adapter) in ledger.adapters() {
-            let is_there = !self.arriving.contains_key(&(model.clone(), adapter.clone()));
-            if is_there && let Some(held) = models.iter_mut().find(|held| held.name == *model) {
+        for (model, adapter) in contents.adapters() {
+            let is_loaded = !self.pending_adapters.contains_key(&(model.clone(), adapter.clone()));
+            if is_loaded && let Some(held) = models.iter_mut().find(|held| held.name == *model) {
                 held.adapters.push(adapter.clone());
             }
         }
         let is_busy = self.loading.is_some();
-        let residency = Residency { incarnation: ledger.incarnation(), models, is_busy };
-        drop(ledger);
+        let residency = Residency { incarnation: contents.incarnation(), models, is_busy };
+        drop(contents);
         self.cx.fleet.update(|state| state.set_residency(&self.server, residency));
     }
 }
 
-/// Adds an adapter that has arrived to what the server can serve.
+/// Publishes a loaded adapter, unless the server has dropped it meanwhile.
 fn add_adapter(
     cx: &NodeContext,
     server: &Name,
-    ledger: &Mutex<EngineLedger>,
+    contents: &Mutex<EngineLedger>,
     (model, adapter): &(Name, Name),
 ) {
-    let held = ledger.lock().expect("no holder panics").holds_adapter(model, adapter);
+    let held = contents.lock().expect("no holder panics").holds_adapter(model, adapter);
     if held {
         cx.fleet.update(|state| state.add_adapter(server, model, adapter));
     }
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -15,7 +15,7 @@
 
 use super::context::NodeContext;
 use super::domain_controller::DomainController;
-use super::engine::Command;
+use super::engine::EngineCommand;
 use super::view::FleetView;
 
 /// A wish for a model that nobody holds counts as demand for this long.
@@ -68,14 +68,14 @@
 fn note_copy_uses(cx: &NodeContext, controller: &DomainController) {
     let engines = controller.engines();
     for engine in engines.values() {
-        engine.ledger().clear_uses();
+        engine.contents().clear_uses();
     }
     let own = cx.boards.lock().copies_in_use();
     for usage in cx.peer_reports.copies_in_use().into_iter().chain(own) {
         if let Some(engine) = engines.get(&usage.server) {
-            let mut ledger = engine.ledger();
+            let mut contents = engine.contents();
             let adapter = usage.adapter.as_deref();
-            ledger.note_use(&usage.model, adapter, usage.requests, cx.now());
+            contents.note_use(&usage.model, adapter, usage.requests, cx.now());
         }
     }
 }
@@ -117,7 +117,7 @@
             unload:? = chosen.unload, value = chosen.value; "move decided"
         );
         if let Some(engine) = controller.engine(&chosen.server) {
-            engine.send(Command::Move(chosen));
+            engine.send(EngineCommand::Move(chosen));
         }
     }
 }
@@ -193,9 +193,9 @@
             .iter()
             .filter_map(|server| {
                 let engine = controller.engine(&server.id)?;
-                let ledger = engine.ledger();
-                let moving = engine.moving();
-                let mut models: SmallVec<[Name; 4]> = ledger.models().cloned().collect();
+                let contents = engine.contents();
+                let moving = engine.current_move();
+                let mut models: SmallVec<[Name; 4]> = contents.models().cloned().collect();
                 if let Some(moving) = &moving {
                     // What a move will bring counts at once, or the next look would decide it again.
                     models.retain(|model| !moving.unload.contains(model));
@@ -203,15 +203,16 @@
                         models.push(moving.load.clone());
                     }
                 }
-                let in_use = ledger.requests_by_model();
-                let is_open =
-                    moving.is_none() && ledger.expected_orders().is_some() && !ledger.is_busy(now);
+                let in_use = contents.requests_by_model();
+                let is_open = moving.is_none()
+                    && contents.expected_orders().is_some()
+                    && !contents.is_busy(now);
                 Some(PlacementServer {
                     server,
                     models,
                     in_use,
-                    adapter_requests: ledger.adapter_requests(),
-                    free_mb: ledger.free_mb(class),
+                    adapter_requests: contents.adapter_requests(),
+                    free_mb: contents.free_mb(class),
                     is_open,
                     loaded_at: self.loaded_at.get(&server.id).unwrap_or(&no_loads),
                 })
