--- a/savoryport/src/node/domain_controller.rs
+++ b/savoryport/src/node/domain_controller.rs
@@ -18,7 +18,7 @@
 
 use super::context::NodeContext;
 use super::engine::{EngineCommand, EngineHandle};
-use super::planner::{Planner, plan};
+use super::planner::{Planner, run_planner};
 use super::rpc::WishReply;
 
 /// How long a request waits for an adapter before it tries another server.
@@ -70,8 +70,8 @@
             .lock()
             .expect("no holder panics")
             .insert(controller.domain.clone(), controller.clone());
-        let plan = plan(cx.clone(), controller.clone());
-        tokio::spawn(controller.cancel.clone().run_until_cancelled_owned(plan));
+        let planner = run_planner(cx.clone(), controller.clone());
+        tokio::spawn(controller.cancel.clone().run_until_cancelled_owned(planner));
         controller
     }
 
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -1,4 +1,5 @@
-//! Looks at the placement of models from time to time, and begins the loads that are worth it.
+//! Periodically plans the placement of models on the servers of a failure domain, and starts the
+//! loads that are worth their cost.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -18,30 +19,31 @@
 use super::engine::EngineCommand;
 use super::view::FleetView;
 
-/// A wish for a model that nobody holds counts as demand for this long.
-const WISH_LIFETIME: Duration = Duration::from_millis(1_500);
+/// How long a request for a model that no server holds counts as demand.
+const REQUEST_LIFETIME: Duration = Duration::from_millis(1_500);
 
-/// A model that nobody asks for is restored when it was missing for this long: servers that start
-/// register within a heartbeat or two, and their models with them.
+/// How long a model without demand must be missing before it is loaded again. Servers that start
+/// register themselves and their models within one or two heartbeats.
 const RESTORE_AFTER: Duration = Duration::from_secs(3);
 
-/// Loads that one look at the placement may begin.
-const MAX_MOVES_PER_LOOK: usize = 4;
+/// Number of moves that one planning round may start for a service.
+const MAX_MOVES_PER_ROUND: usize = 4;
 
+/// The state that the placement of a failure domain keeps between planning rounds.
 #[derive(Debug, Default)]
 pub struct Planner {
-    /// What callers of the domain ask for.
+    /// The average demand of the domain's callers for each model.
     pub demand: DemandAverage,
     allowance: Option<LoadAllowance>,
-    /// Models that no server holds, and since when.
+    /// Models that no server holds, with the time since when.
     missing_since: HashMap<Name, Instant>,
-    /// Models that requests wait for, and since when.
+    /// Models that requests wait for, with the time of the latest request.
     pub wanted_models: HashMap<Name, Instant>,
     loaded_at: HashMap<Name, HashMap<Name, Instant>>,
 }
 
-/// Looks at the placement of models from time to time.
-pub async fn plan(cx: Arc<NodeContext>, controller: Arc<DomainController>) {
+/// Runs a planning round for every service with model engines at each placement period.
+pub async fn run_planner(cx: Arc<NodeContext>, controller: Arc<DomainController>) {
     let period = Duration::from_millis(cx.settings.placement_period_ms);
     loop {
         tokio::time::sleep(period).await;
@@ -58,14 +60,14 @@
                 .collect();
             controller.update_engines(&cx, &servers);
             if controller.active_token(&cx).is_some() {
-                note_copy_uses(&cx, &controller);
-                look(&cx, &controller, &view, &service.name, class, &servers);
+                update_copy_uses(&cx, &controller);
+                plan_service(&cx, &controller, &view, &service.name, class, &servers);
             }
         }
     }
 }
 
-fn note_copy_uses(cx: &NodeContext, controller: &DomainController) {
+fn update_copy_uses(cx: &NodeContext, controller: &DomainController) {
     let engines = controller.engines();
     for engine in engines.values() {
         engine.contents().clear_uses();
@@ -80,7 +82,7 @@
     }
 }
 
-fn look(
+fn plan_service(
     cx: &NodeContext,
     controller: &DomainController,
     view: &FleetView,
@@ -94,12 +96,12 @@
         let work = cx.peer_reports.take_work();
         planner.demand.observe(&work, now);
     }
-    planner.wanted_models.retain(|_, at| now.saturating_duration_since(*at) < WISH_LIFETIME);
+    planner.wanted_models.retain(|_, at| now.saturating_duration_since(*at) < REQUEST_LIFETIME);
     let holders = holders_by_model(view, service);
     let missing = planner.missing(view, service, class, &controller.domain, &holders, now);
-    let demand = planner.demand_with_wishes();
+    let demand = planner.demand_with_waiting();
     let neighbours = neighbours(cx, view, service, &controller.domain);
-    let needs = Needs {
+    let round = PlanningRound {
         class,
         servers,
         holders: &holders,
@@ -107,10 +109,10 @@
         demand: &demand,
         neighbours: &neighbours,
     };
-    for _ in 0..MAX_MOVES_PER_LOOK {
-        let chosen = planner.choose(cx, controller, &needs);
+    for _ in 0..MAX_MOVES_PER_ROUND {
+        let chosen = planner.choose_move(cx, controller, &round);
         let Some(chosen) = chosen else { return };
-        planner.note(&chosen, now);
+        planner.record_move(&chosen, now);
         cx.metrics.loads.inc();
         log::info!(
             server = &*chosen.server, model = &*chosen.load, source:? = chosen.source,
@@ -122,9 +124,9 @@
     }
 }
 
-/// What the servers of a domain hold and are asked for at one look.
+/// The input of one planning round.
 #[derive(Debug, Clone, Copy)]
-struct Needs<'a> {
+struct PlanningRound<'a> {
     class: &'a EngineClass,
     servers: &'a [Arc<BackendServer>],
     holders: &'a HashMap<Name, Vec<Name>>,
@@ -134,7 +136,7 @@
 }
 
 impl Planner {
-    /// Returns the models that nobody holds and this domain is to bring back.
+    /// Returns the models that no server holds and that this domain has to load.
     fn missing(
         &mut self,
         view: &FleetView,
@@ -159,24 +161,24 @@
         missing
     }
 
-    fn demand_with_wishes(&self) -> HashMap<Name, f64> {
-        /// The demand that a wish stands for, enough for a first copy.
-        const WISH_DEMAND: f64 = 0.1;
+    fn demand_with_waiting(&self) -> HashMap<Name, f64> {
+        /// The demand, in servers' worth, that waiting requests stand for: enough for a first copy.
+        const WAITING_DEMAND: f64 = 0.1;
         let mut demand = self.demand.demand();
         for model in self.wanted_models.keys() {
             let known = demand.entry(model.clone()).or_default();
-            *known = known.max(WISH_DEMAND);
+            *known = known.max(WAITING_DEMAND);
         }
         demand
     }
 
-    fn choose(
+    fn choose_move(
         &mut self,
         cx: &NodeContext,
         controller: &DomainController,
-        needs: &Needs<'_>,
+        round: &PlanningRound<'_>,
     ) -> Option<Move> {
-        let Needs { class, servers, holders, missing, demand, neighbours } = *needs;
+        let PlanningRound { class, servers, holders, missing, demand, neighbours } = *round;
         let now = cx.now();
         let window = Duration::from_secs_f64(cx.settings.load_window_s);
         let domains = cx.settings.failure_domains.len();
@@ -194,17 +196,17 @@
             .filter_map(|server| {
                 let engine = controller.engine(&server.id)?;
                 let contents = engine.contents();
-                let moving = engine.current_move();
+                let current_move = engine.current_move();
                 let mut models: SmallVec<[Name; 4]> = contents.models().cloned().collect();
-                if let Some(moving) = &moving {
-                    // What a move will bring counts at once, or the next look would decide it again.
-                    models.retain(|model| !moving.unload.contains(model));
-                    if !models.contains(&moving.load) {
-                        models.push(moving.load.clone());
+                if let Some(current_move) = &current_move {
+                    // The result of a move counts at once, or the next round would plan it again.
+                    models.retain(|model| !current_move.unload.contains(model));
+                    if !models.contains(&current_move.load) {
+                        models.push(current_move.load.clone());
                     }
                 }
                 let in_use = contents.requests_by_model();
-                let is_open = moving.is_none()
+                let is_open = current_move.is_none()
                     && contents.expected_orders().is_some()
                     && !contents.is_busy(now);
                 Some(PlacementServer {
@@ -232,7 +234,7 @@
         next_move(&input)
     }
 
-    fn note(&mut self, chosen: &Move, now: Instant) {
+    fn record_move(&mut self, chosen: &Move, now: Instant) {
         if chosen.source == WeightSource::Store
             && let Some(allowance) = &mut self.allowance
         {
@@ -243,7 +245,7 @@
     }
 }
 
-/// Returns the other failure domains in the region of one, with their demand and copies.
+/// Returns the other failure domains in the same region, with their demand and copies.
 fn neighbours(cx: &NodeContext, view: &FleetView, service: &Name, domain: &Name) -> Vec<Neighbour> {
     let region = cx.settings.region_of(domain);
     let others =
