--- a/savoryport/src/node/fleet.rs
+++ b/savoryport/src/node/fleet.rs
@@ -48,7 +48,7 @@
     /// Servers as the store lists them, or as the duty holder tells.
     pub registry: Registry,
     /// Counts the times that a holder's servers were taken instead of the store's.
-    hearsay_count: u64,
+    relayed_count: u64,
     residency: HashMap<Name, Residency>,
     published: BTreeMap<Name, (u64, Arc<BackendServer>)>,
     removals: VecDeque<(u64, Name)>,
@@ -68,7 +68,7 @@
         let state = FleetState {
             config: None,
             registry: Registry::default(),
-            hearsay_count: 0,
+            relayed_count: 0,
             residency: HashMap::new(),
             published: BTreeMap::new(),
             removals: VecDeque::new(),
@@ -282,13 +282,13 @@
 
     /// Returns a number that changes whenever servers were taken from a holder: changes of the store
     /// since an earlier listing then no longer add up to what the store holds.
-    pub fn hearsay_count(&self) -> u64 {
-        self.hearsay_count
+    pub fn relayed_count(&self) -> u64 {
+        self.relayed_count
     }
 
     /// Takes the servers of a reply, as a follower.
     pub fn apply_servers(&mut self, reply: &SyncReply) {
-        self.hearsay_count += 1;
+        self.relayed_count += 1;
         if reply.is_full {
             let listed: Vec<Name> = self.registry.servers().keys().cloned().collect();
             for id in listed {
--- a/savoryport/src/node/store_reader.rs
+++ b/savoryport/src/node/store_reader.rs
@@ -1,7 +1,7 @@
-//! Reads the platform's store: the configuration, the servers and who holds which duty.
+//! Reads the platform's store: the configuration, the servers and the leaders of failure domains.
 //!
-//! Every waiting watch is paid, so only duty holders read all the time; other nodes read while they
-//! hear from no holder. One watch covers everything that lies in the store.
+//! Every open watch is billed, so only leaders read continuously; other nodes read only while they
+//! get no answers from a leader. One watch covers all keys of the store.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -16,76 +16,77 @@
 use super::fleet::FleetState;
 use super::view::{AcceptedConfig, DomainLeader};
 
-/// The store's prefix of the duties, one key for each failure domain.
+/// Prefix of the keys in the store that name the leaders, one for each failure domain.
 pub const LEADER_KEY_PREFIX: &str = "savoryport/duty/";
 
-/// The store counts as away when it has not answered for this long.
-const AWAY_AFTER: Duration = Duration::from_millis(1_500);
+/// The store counts as unavailable when it has not answered for this long.
+const UNAVAILABLE_AFTER: Duration = Duration::from_millis(1_500);
 
-/// The first pause after a failed call; doubled up to [`MAX_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after the first failed call; doubled for each further failure up to [`MAX_RETRY_DELAY`].
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The longest pause after failed calls.
-const MAX_PAUSE: Duration = Duration::from_millis(800);
+/// Upper bound of the delay after failed calls.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
-/// How long after an outage a lapsed entry is taken for the outage's doing.
-const DOUBT_AFTER_OUTAGE: Duration = Duration::from_millis(2_000);
+/// How long after an outage a removed server entry is attributed to the outage, in which the leases
+/// of live servers may have expired.
+const RECOVERY_PERIOD: Duration = Duration::from_millis(2_000);
 
-/// When the store was last heard, and when it was last found away.
+/// Tracks when the store last answered and when its last outage ended.
 #[derive(Debug, Default)]
 pub struct StoreHealth(Mutex<HealthTimes>);
 
 #[derive(Debug, Default, Clone, Copy)]
 struct HealthTimes {
-    heard: Option<Instant>,
-    /// When the first call failed since the store was last heard.
+    last_answer: Option<Instant>,
+    /// When the first call failed since the last answer.
     failing_since: Option<Instant>,
     outage_ended: Option<Instant>,
 }
 
 impl StoreHealth {
-    /// Notes an answer; returns for how long there was none if the store was away.
+    /// Records an answer. If it ends an outage, returns how long calls had failed.
     pub fn record_answer(&self, now: Instant) -> Option<Duration> {
         let mut times = self.0.lock().expect("no holder panics");
-        // A node that follows a holder does not call, which is no silence of the store's.
+        // Counted from the first failed call, since a follower that makes no calls observes no outage.
         let failing = times.failing_since.take().map(|at| now.saturating_duration_since(at));
-        let outage = failing.filter(|silence| *silence > AWAY_AFTER);
+        let outage = failing.filter(|silence| *silence > UNAVAILABLE_AFTER);
         if outage.is_some() {
             times.outage_ended = Some(now);
         }
-        times.heard = Some(now);
+        times.last_answer = Some(now);
         outage
     }
 
-    /// Notes a call without an answer.
+    /// Records a failed call.
     pub fn record_failure(&self, now: Instant) {
         self.0.lock().expect("no holder panics").failing_since.get_or_insert(now);
     }
 
-    /// Returns whether the store answers.
+    /// Returns whether the store has answered recently.
     pub fn is_available(&self, now: Instant) -> bool {
-        let heard = self.0.lock().expect("no holder panics").heard;
-        heard.is_some_and(|at| now.saturating_duration_since(at) <= AWAY_AFTER)
+        let last_answer = self.0.lock().expect("no holder panics").last_answer;
+        last_answer.is_some_and(|at| now.saturating_duration_since(at) <= UNAVAILABLE_AFTER)
     }
 
-    /// Returns whether an outage ended a moment ago.
+    /// Returns whether an outage ended recently.
     pub fn is_recovering(&self, now: Instant) -> bool {
         let ended = self.0.lock().expect("no holder panics").outage_ended;
-        ended.is_some_and(|at| now.saturating_duration_since(at) < DOUBT_AFTER_OUTAGE)
+        ended.is_some_and(|at| now.saturating_duration_since(at) < RECOVERY_PERIOD)
     }
 }
 
-/// Reads the store whenever `active` says so, until the node stops.
+/// Reads the store while `active` is true, until the sender of `active` is dropped.
 pub(super) async fn run(cx: Arc<NodeContext>, mut active: watch::Receiver<bool>) {
     let mut position: Option<Revision> = None;
-    let mut hearsay = 0;
+    let mut relayed_count = 0;
     let mut failures = 0_u32;
     loop {
         if active.wait_for(|active| *active).await.is_err() {
             return;
         }
-        let heard = cx.fleet.read(FleetState::hearsay_count);
-        if std::mem::replace(&mut hearsay, heard) != heard {
+        let count = cx.fleet.read(FleetState::relayed_count);
+        if std::mem::replace(&mut relayed_count, count) != count {
             position = None;
         }
         let started = cx.now();
@@ -104,33 +105,34 @@
                 cx.metrics.store_failures.inc();
                 cx.store_health.record_failure(cx.now());
                 failures += 1;
-                tokio::time::sleep(pause(failures, cx.draw())).await;
+                tokio::time::sleep(retry_delay(failures, cx.draw())).await;
             }
         }
         cx.fleet.update(|state| {
             for id in state.registry.expire(cx.now()) {
-                log::info!(server = &*id; "entry did not return after the outage");
+                log::info!(server = &*id; "server did not register again after the outage");
             }
         });
     }
 }
 
-/// Returns a pause that grows with failures, spread so that nodes do not call in step.
-fn pause(failures: u32, draw: f64) -> Duration {
-    let grown = FIRST_PAUSE * 2_u32.pow(failures.min(6) - 1);
-    grown.min(MAX_PAUSE).mul_f64(0.5 + draw)
+/// Returns the delay after a number of failures, with jitter so that nodes do not retry at the same
+/// time. `random` is uniform in 0..1.
+fn retry_delay(failures: u32, random: f64) -> Duration {
+    let delay = FIRST_RETRY_DELAY * 2_u32.pow(failures.min(6) - 1);
+    delay.min(MAX_RETRY_DELAY).mul_f64(0.5 + random)
 }
 
 async fn read_once(cx: &NodeContext, position: Option<Revision>) -> Result<Revision, StoreError> {
     cx.metrics.store_calls.inc();
     let Some(after) = position else {
         let listing = cx.store.list("").await?;
-        note_contact(cx);
+        record_answer(cx);
         return Ok(apply_listing(cx, listing));
     };
     let wait = Duration::from_millis(cx.settings.store_poll_ms);
     let changes = cx.store.watch("", after, wait).await?;
-    note_contact(cx);
+    record_answer(cx);
     let recovering = cx.store_health.is_recovering(cx.now());
     cx.fleet.update(|state| {
         for change in changes.changes {
@@ -143,7 +145,7 @@
     Ok(changes.up_to.max(after))
 }
 
-fn note_contact(cx: &NodeContext) {
+fn record_answer(cx: &NodeContext) {
     if let Some(silence) = cx.store_health.record_answer(cx.now()) {
         log::info!(silent_ms = silence.as_millis() as u64; "store regained");
     }
@@ -174,7 +176,7 @@
 fn apply_item(state: &mut FleetState, item: &Item) {
     if let Some(id) = server_id(&item.key) {
         match backend_server(id, &item.value) {
-            Ok(server) => note_server(state, server),
+            Ok(server) => apply_server(state, server),
             Err(err) => {
                 log::warn!(server = id, err:% = err; "unreadable server entry");
                 state.registry.remove(id);
@@ -185,17 +187,17 @@
     } else if let Some(domain) = item.key.strip_prefix(LEADER_KEY_PREFIX) {
         match serde_json::from_slice::<DomainLeader>(&item.value) {
             Ok(leader) => state.set_leader(&domain.into(), Some(leader)),
-            Err(err) => log::warn!(domain = domain, err:% = err; "unreadable duty"),
+            Err(err) => log::warn!(domain = domain, err:% = err; "cannot parse the leader's entry"),
         }
     }
 }
 
-fn note_server(state: &mut FleetState, server: savoryport_core::node::registry::BackendServer) {
+fn apply_server(state: &mut FleetState, server: savoryport_core::node::registry::BackendServer) {
     let known = state.registry.servers().get(&server.id);
-    let was = known.map(|known| (known.state.clone(), known.incarnation));
-    let (id, now_is) = (server.id.clone(), (server.state.clone(), server.incarnation));
-    if state.registry.put(server) && was.as_ref() != Some(&now_is) {
-        log::info!(server = &*id, state:? = now_is.0, incarnation = now_is.1; "server state");
+    let former = known.map(|known| (known.state.clone(), known.incarnation));
+    let (id, present) = (server.id.clone(), (server.state.clone(), server.incarnation));
+    if state.registry.put(server) && former.as_ref() != Some(&present) {
+        log::info!(server = &*id, state:? = present.0, incarnation = present.1; "server state");
     }
 }
 
@@ -211,7 +213,7 @@
     }
 }
 
-/// Decodes and takes a configuration if it is newer.
+/// Decodes a configuration and puts it in force if it is newer than the present one.
 pub fn accept_config(state: &mut FleetState, raw: &[u8], source: &'static str) {
     match deployment(raw) {
         Ok(decoded) => {
@@ -224,14 +226,14 @@
                     state.accept_config(config);
                     log::info!(version = version, routes = routes, source = source; "config in force");
                 }
-                Err(err) => log::error!(err:% = err; "config not packed"),
+                Err(err) => log::error!(err:% = err; "cannot compress the config"),
             }
         }
         Err(err) => log::error!(err:% = err, source = source; "unreadable config"),
     }
 }
 
-/// Returns the store's key of a failure domain's duty.
+/// Returns the key in the store that names the leader of a failure domain.
 pub fn leader_key(failure_domain: &str) -> String {
     format!("{LEADER_KEY_PREFIX}{failure_domain}")
 }
