--- a/savoryport/src/node/fleet.rs
+++ b/savoryport/src/node/fleet.rs
@@ -1,6 +1,6 @@
-//! The node's beliefs about the fleet, and the changes that other nodes ask for.
+//! What this node knows about the fleet, and the revisions from which updates to other nodes are built.
 //!
-//! Every task that learns something changes the beliefs here; requests read immutable snapshots.
+//! Tasks that learn something update the state here; requests read immutable snapshots of it.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -13,71 +13,74 @@
 use super::rpc::{Position, SyncReply};
 use super::view::{AcceptedConfig, DomainLeader, FleetView, Member};
 
-/// A follower that has not told anything for this long is not named to callers any more.
+/// A follower that has not reported for this long is no longer named to callers.
 const FOLLOWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A member that only another node vouched for is forgotten this long after that node's last word.
-const HEARSAY_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// A member known only through another node is removed when that node has not confirmed it for this
+/// long.
+const RELAYED_MEMBER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Removals that are remembered for followers; one that is further behind gets everything.
+/// Number of server removals kept for followers. A follower that is further behind gets the full list.
 const MAX_REMOVALS: usize = 256;
 
-/// The models of a server as its order giver knows them, newer than its own entry.
+/// The models of a server as the leader that sends it orders knows them, which is newer than the
+/// server's own entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Residency {
-    /// The incarnation of the server.
+    /// The incarnation of the server that the models belong to.
     pub incarnation: u64,
-    /// Models that it can serve.
+    /// Models that the server can serve.
     pub models: Vec<ResidentModel>,
-    /// Whether it carries out an order that keeps it from others.
+    /// Whether the server executes an order that blocks others.
     pub is_busy: bool,
 }
 
-/// Shared beliefs with a channel of snapshots.
+/// The shared state of the fleet, with a channel of snapshots.
 #[derive(Debug)]
 pub struct Fleet {
     state: Mutex<FleetState>,
     views: watch::Sender<Arc<FleetView>>,
 }
 
-/// The beliefs themselves.
+/// The state of the fleet as this node knows it.
 #[derive(Debug)]
 pub struct FleetState {
     own: Member,
     config: Option<AcceptedConfig>,
-    /// Servers as the store lists them, or as the duty holder tells.
+    /// Servers as listed by the store or reported by the leader.
     pub registry: Registry,
-    /// Counts the times that a holder's servers were taken instead of the store's.
+    /// The number of times that servers were taken from a leader instead of the store.
     relayed_count: u64,
     residency: HashMap<Name, Residency>,
-    published: BTreeMap<Name, (u64, Arc<BackendServer>)>,
+    /// Servers as published in snapshots, with the revision of their last change.
+    merged_servers: BTreeMap<Name, (u64, Arc<BackendServer>)>,
     removals: VecDeque<(u64, Name)>,
-    /// Removals up to here are forgotten.
-    removals_from: u64,
+    /// Removals up to this revision are no longer in `removals`.
+    removals_after: u64,
     servers_revision: u64,
-    /// Members with the time until which they count; this node is not among them.
+    /// Members other than this node, with the time at which they expire.
     members: HashMap<Name, (Member, Instant)>,
     leaders: BTreeMap<Name, DomainLeader>,
     members_revision: u64,
-    last_members: Vec<Member>,
+    published_members: Vec<Member>,
 }
 
 impl Fleet {
-    /// Starts with nothing but this node.
+    /// Creates a state that knows only this node.
     pub fn new(own: Member) -> Self {
         let state = FleetState {
             config: None,
             registry: Registry::default(),
             relayed_count: 0,
             residency: HashMap::new(),
-            published: BTreeMap::new(),
+            merged_servers: BTreeMap::new(),
             removals: VecDeque::new(),
-            removals_from: 0,
+            removals_after: 0,
             servers_revision: 0,
             members: HashMap::new(),
             leaders: BTreeMap::new(),
             members_revision: 1,
-            last_members: Vec::new(),
+            published_members: Vec::new(),
             own,
         };
         Self { state: Mutex::new(state), views: watch::Sender::new(Arc::default()) }
@@ -93,19 +96,19 @@
         self.views.subscribe()
     }
 
-    /// Changes the beliefs and publishes a snapshot if anything differs.
+    /// Changes the state, and publishes a snapshot if anything visible in it differs.
     pub fn update<T>(&self, change: impl FnOnce(&mut FleetState) -> T) -> T {
         let mut state = self.lock();
         let result = change(&mut state);
-        // The last snapshot is released before the next one replaces it.
-        let published = state.publish(&self.views.borrow());
-        if let Some(view) = published {
+        // The borrow of the last snapshot has to end before the next one replaces it.
+        let next = state.next_view(&self.views.borrow());
+        if let Some(view) = next {
             self.views.send_replace(Arc::new(view));
         }
         result
     }
 
-    /// Reads the beliefs.
+    /// Reads the state.
     pub fn read<T>(&self, read: impl FnOnce(&FleetState) -> T) -> T {
         read(&self.lock())
     }
@@ -116,7 +119,7 @@
 }
 
 impl FleetState {
-    /// Takes a configuration if it is newer; returns whether it was.
+    /// Puts a configuration in force if it is newer; returns whether it was.
     pub fn accept_config(&mut self, config: AcceptedConfig) -> bool {
         let known = self.config.as_ref().map(|config| config.deployment.version);
         let is_newer = known.is_none_or(|version| config.deployment.version > version);
@@ -136,12 +139,12 @@
         self.config.as_ref().map_or(0, |config| config.deployment.version)
     }
 
-    /// Takes what an order giver knows of a server.
+    /// Sets the models of a server as its leader knows them.
     pub fn set_residency(&mut self, server: &Name, residency: Residency) {
         self.residency.insert(server.clone(), residency);
     }
 
-    /// Adds an adapter to what an order giver knows of a server.
+    /// Adds an adapter to the models of a server as its leader knows them.
     pub fn add_adapter(&mut self, server: &Name, model: &Name, adapter: &Name) {
         let models = self.residency.get_mut(server).map(|known| &mut known.models);
         let resident = models.and_then(|models| models.iter_mut().find(|held| held.name == *model));
@@ -150,7 +153,7 @@
         }
     }
 
-    /// Forgets what order givers knew of the servers of a failure domain.
+    /// Removes the models that a leader reported for the servers of a failure domain.
     pub fn clear_residency(&mut self, failure_domain: &str) {
         let servers = self.registry.servers();
         self.residency.retain(|id, _| {
@@ -158,60 +161,60 @@
         });
     }
 
-    /// Notes that a member told something.
+    /// Adds or refreshes a member that reported to this node.
     pub fn record_member(&mut self, member: Member, now: Instant) {
-        let until = now + FOLLOWER_TIMEOUT;
-        let known = self.members.insert(member.vm.clone(), (member.clone(), until));
+        let expires_at = now + FOLLOWER_TIMEOUT;
+        let known = self.members.insert(member.vm.clone(), (member.clone(), expires_at));
         if known.is_none_or(|(known, _)| known != member) {
             self.members_revision += 1;
         }
     }
 
-    /// Takes a member off, because it said so.
+    /// Removes a member that reported that it is leaving.
     pub fn remove_member(&mut self, vm: &str) {
         if self.members.remove(vm).is_some() {
             self.members_revision += 1;
         }
     }
 
-    /// Replaces the members of one failure domain, as its duty holder tells them.
+    /// Replaces the members of one failure domain by those that its leader reports.
     pub fn set_domain_members(&mut self, domain: &str, members: Vec<Member>, now: Instant) {
         self.members.retain(|_, (member, _)| &*member.failure_domain != domain);
-        self.add_hearsay(members, now);
+        self.add_relayed_members(members, now);
     }
 
-    /// Replaces all members but this node.
+    /// Replaces all members other than this node.
     pub fn set_members(&mut self, members: Vec<Member>, now: Instant) {
         self.members.clear();
-        self.add_hearsay(members, now);
+        self.add_relayed_members(members, now);
     }
 
-    fn add_hearsay(&mut self, members: Vec<Member>, now: Instant) {
-        let until = now + HEARSAY_TIMEOUT;
+    fn add_relayed_members(&mut self, members: Vec<Member>, now: Instant) {
+        let expires_at = now + RELAYED_MEMBER_TIMEOUT;
         for member in members.into_iter().filter(|member| member.vm != self.own.vm) {
-            self.members.insert(member.vm.clone(), (member, until));
+            self.members.insert(member.vm.clone(), (member, expires_at));
         }
         self.members_revision += 1;
     }
 
-    /// Notes that the node which vouches for members still does, for those of one failure domain or
-    /// for all.
+    /// Extends the lifetime of members that another node has reported before, in one failure domain or
+    /// in all.
     pub fn confirm_members(&mut self, domain: Option<&str>, now: Instant) {
-        for (member, until) in self.members.values_mut() {
+        for (member, expires_at) in self.members.values_mut() {
             if domain.is_none_or(|domain| &*member.failure_domain == domain) {
-                *until = now + HEARSAY_TIMEOUT;
+                *expires_at = now + RELAYED_MEMBER_TIMEOUT;
             }
         }
     }
 
-    /// Drops members that nobody heard of for too long.
+    /// Removes members that have expired.
     pub fn expire_members(&mut self, now: Instant) {
         let before = self.members.len();
-        self.members.retain(|_, (_, until)| now < *until);
+        self.members.retain(|_, (_, expires_at)| now < *expires_at);
         self.members_revision += u64::from(self.members.len() != before);
     }
 
-    /// Takes who holds a duty, or that nobody does.
+    /// Sets or clears the leader of a failure domain.
     pub fn set_leader(&mut self, failure_domain: &Name, leader: Option<DomainLeader>) {
         let before = match leader {
             Some(leader) => self.leaders.insert(failure_domain.clone(), leader),
@@ -222,12 +225,12 @@
         }
     }
 
-    /// Returns the holder of a duty.
+    /// Returns the leader of a failure domain.
     pub fn leader(&self, failure_domain: &str) -> Option<&DomainLeader> {
         self.leaders.get(failure_domain)
     }
 
-    /// Returns every holder.
+    /// Returns the leaders by failure domain.
     pub fn leaders(&self) -> &BTreeMap<Name, DomainLeader> {
         &self.leaders
     }
@@ -242,18 +245,24 @@
         self.members.values().map(|(member, _)| member).chain([&self.own])
     }
 
-    /// Fills a reply with what a follower at `have` lacks. With a domain only its servers and members
-    /// are told.
-    pub fn fill(&self, have: Position, tenure: u64, domain: Option<&str>, reply: &mut SyncReply) {
-        let is_known = have.tenure == tenure && have.servers >= self.removals_from;
+    /// Fills a reply with the changes since the position `have` of the asking node. With `domain`, only
+    /// the servers and members of that failure domain are included.
+    pub fn fill_reply(
+        &self,
+        have: Position,
+        tenure: u64,
+        domain: Option<&str>,
+        reply: &mut SyncReply,
+    ) {
+        let is_known = have.tenure == tenure && have.servers >= self.removals_after;
         let since = if is_known { have.servers } else { 0 };
-        let concerns =
+        let is_included =
             |server: &BackendServer| domain.is_none_or(|name| &*server.failure_domain == name);
         reply.is_full = !is_known;
         reply.servers = self
-            .published
+            .merged_servers
             .values()
-            .filter(|(revision, server)| *revision > since && concerns(server))
+            .filter(|(revision, server)| *revision > since && is_included(server))
             .map(|(_, server)| BackendServer::clone(server))
             .collect();
         reply.removed = self
@@ -280,13 +289,13 @@
         };
     }
 
-    /// Returns a number that changes whenever servers were taken from a holder: changes of the store
-    /// since an earlier listing then no longer add up to what the store holds.
+    /// Returns a number that changes whenever servers are taken from a leader. The changes in the store
+    /// since an earlier listing then no longer add up to the store's contents.
     pub fn relayed_count(&self) -> u64 {
         self.relayed_count
     }
 
-    /// Takes the servers of a reply, as a follower.
+    /// Applies the servers of a leader's reply to this follower.
     pub fn apply_servers(&mut self, reply: &SyncReply) {
         self.relayed_count += 1;
         if reply.is_full {
@@ -298,7 +307,7 @@
             }
         }
         for server in &reply.servers {
-            // What the holder tells already contains what it ordered.
+            // The leader's entry already includes the results of its orders.
             self.residency.remove(&server.id);
             self.registry.put(server.clone());
         }
@@ -307,16 +316,17 @@
         }
     }
 
-    fn publish(&mut self, last: &FleetView) -> Option<FleetView> {
+    fn next_view(&mut self, last: &FleetView) -> Option<FleetView> {
         let servers_changed = self.merge_servers();
         let members = self.sorted_members();
         let config_changed = self.version() != last.version();
-        let members_changed = members != self.last_members || self.leaders != last.leaders;
+        let members_changed = members != self.published_members || self.leaders != last.leaders;
         if !servers_changed && !config_changed && !members_changed {
             return None;
         }
-        self.last_members.clone_from(&members);
-        let servers = self.published.iter().map(|(id, (_, server))| (id.clone(), server.clone()));
+        self.published_members.clone_from(&members);
+        let servers =
+            self.merged_servers.iter().map(|(id, (_, server))| (id.clone(), server.clone()));
         Some(FleetView {
             config: self.config.clone(),
             servers: servers.collect(),
@@ -331,23 +341,23 @@
         members
     }
 
-    /// Combines the registry with what order givers know; returns whether anything changed.
+    /// Combines the registry with the models that leaders know; returns whether anything changed.
     fn merge_servers(&mut self) -> bool {
         let before = self.servers_revision;
         let gone: Vec<Name> = self
-            .published
+            .merged_servers
             .keys()
             .filter(|id| !self.registry.servers().contains_key(*id))
             .cloned()
             .collect();
         for id in gone {
-            self.published.remove(&id);
+            self.merged_servers.remove(&id);
             self.residency.remove(&id);
             self.servers_revision += 1;
             self.removals.push_back((self.servers_revision, id));
         }
         while self.removals.len() > MAX_REMOVALS {
-            self.removals_from = self.removals.pop_front().map_or(0, |(revision, _)| revision);
+            self.removals_after = self.removals.pop_front().map_or(0, |(revision, _)| revision);
         }
         for server in self.registry.servers().values() {
             let residency = self
@@ -356,23 +366,23 @@
                 .filter(|known| known.incarnation == server.incarnation);
             let models = residency.map_or(&server.models, |known| &known.models);
             let is_busy = residency.map_or(server.is_busy, |known| known.is_busy);
-            let is_same = self.published.get(&server.id).is_some_and(|(_, known)| {
+            let is_same = self.merged_servers.get(&server.id).is_some_and(|(_, known)| {
                 known.models == *models
                     && known.is_busy == is_busy
-                    && is_same_but_models(known, server)
+                    && equals_except_models(known, server)
             });
             if !is_same {
                 let merged = BackendServer { models: models.clone(), is_busy, ..server.clone() };
                 self.servers_revision += 1;
                 let entry = (self.servers_revision, Arc::new(merged));
-                self.published.insert(server.id.clone(), entry);
+                self.merged_servers.insert(server.id.clone(), entry);
             }
         }
         self.servers_revision != before
     }
 }
 
-fn is_same_but_models(a: &BackendServer, b: &BackendServer) -> bool {
+fn equals_except_models(a: &BackendServer, b: &BackendServer) -> bool {
     a.state == b.state
         && a.incarnation == b.incarnation
         && a.address == b.address
--- a/savoryport/src/node/peer_server.rs
+++ b/savoryport/src/node/peer_server.rs
@@ -222,7 +222,7 @@
                 state.expire_members(now);
             }
         });
-        cx.fleet.read(|state| state.fill(req.have, cx.tenure, domain, &mut reply));
+        cx.fleet.read(|state| state.fill_reply(req.have, cx.tenure, domain, &mut reply));
         reply.position.prompts = prompt_count;
         reply
     }
