--- a/savoryport/src/node/peer_server.rs
+++ b/savoryport/src/node/peer_server.rs
@@ -1,4 +1,7 @@
-//! What a duty holder collects from its failure domain and passes on.
+//! The server side of the calls between nodes, and the reports that other nodes make in them.
+//!
+//! A leader collects the reports of the followers in its failure domain and of the leaders of other
+//! domains, and passes the sums on to both.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -19,35 +22,35 @@
     WishReply,
 };
 
-/// What another node told counts for this long.
-const TOLD_LIFETIME: Duration = Duration::from_millis(1_000);
+/// A report of another node is used for this long.
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_000);
 
 /// Loads by server.
 type Loads = HashMap<Name, ServerLoad>;
 
-/// What other nodes told.
+/// The latest reports of other nodes.
 #[derive(Debug, Default)]
 pub struct PeerReports(Mutex<ReportState>);
 
 #[derive(Debug, Default)]
 struct ReportState {
-    followers: HashMap<Name, Told>,
-    domains: HashMap<Name, Told>,
+    followers: HashMap<Name, NodeReport>,
+    domains: HashMap<Name, NodeReport>,
     work_ms: HashMap<Name, f64>,
     prompts: PromptLog,
 }
 
 #[derive(Debug)]
-struct Told {
+struct NodeReport {
     loads: Loads,
     copies: Vec<CopyUse>,
     demand: HashMap<Name, f64>,
-    at: Instant,
+    received_at: Instant,
 }
 
-impl Told {
-    fn new(at: Instant) -> Self {
-        Self { loads: Loads::new(), copies: Vec::new(), demand: HashMap::new(), at }
+impl NodeReport {
+    fn new(received_at: Instant) -> Self {
+        Self { loads: Loads::new(), copies: Vec::new(), demand: HashMap::new(), received_at }
     }
 }
 
@@ -56,48 +59,50 @@
         self.0.lock().expect("no holder panics")
     }
 
-    /// Takes what a follower told.
-    fn note_follower(&self, req: &SyncRequest, now: Instant) {
+    /// Stores the report of a follower.
+    fn record_follower(&self, req: &SyncRequest, now: Instant) {
         let mut state = self.lock();
         let vm = &req.member.vm;
         if req.is_leaving {
             state.followers.remove(vm);
         } else {
             let loads = req.loads.iter().cloned().collect();
-            let told = Told { loads, copies: req.copies.clone(), ..Told::new(now) };
-            state.followers.insert(vm.clone(), told);
+            let report = NodeReport { loads, copies: req.copies.clone(), ..NodeReport::new(now) };
+            state.followers.insert(vm.clone(), report);
         }
         state.add_work(&req.work_ms);
         state.prompts.add(vm, &req.prompts, now);
     }
 
-    /// Takes the sums of another failure domain.
-    pub fn note_domain(&self, domain: &Name, loads: Vec<(Name, ServerLoad)>, now: Instant) {
+    /// Stores the summed loads of another failure domain.
+    pub fn record_domain_loads(&self, domain: &Name, loads: Vec<(Name, ServerLoad)>, now: Instant) {
         let mut state = self.lock();
-        let told = state.domains.entry(domain.clone()).or_insert_with(|| Told::new(now));
-        told.loads = loads.into_iter().collect();
-        told.at = now;
+        let report = state.domains.entry(domain.clone()).or_insert_with(|| NodeReport::new(now));
+        report.loads = loads.into_iter().collect();
+        report.received_at = now;
     }
 
-    /// Takes the copies at this domain's servers that another failure domain uses, and its demand.
-    fn note_domain_needs(&self, req: &SyncRequest, now: Instant) {
+    /// Stores the demand of another failure domain, and the copies at this domain's servers that it
+    /// uses.
+    fn record_domain_demand(&self, req: &SyncRequest, now: Instant) {
         let mut state = self.lock();
         let domain = req.member.failure_domain.clone();
-        let told = state.domains.entry(domain).or_insert_with(|| Told::new(now));
-        told.copies.clone_from(&req.copies);
-        told.demand = req.demand.iter().cloned().collect();
+        let report = state.domains.entry(domain).or_insert_with(|| NodeReport::new(now));
+        report.copies.clone_from(&req.copies);
+        report.demand = req.demand.iter().cloned().collect();
     }
 
-    /// Returns the demand that another failure domain told lately.
+    /// Returns the demand of another failure domain, or nothing if its last report is too old.
     pub fn demand_of(&self, domain: &str, now: Instant) -> HashMap<Name, f64> {
         let state = self.lock();
-        let told = state.domains.get(domain);
-        let fresh = told.filter(|told| now.saturating_duration_since(told.at) < TOLD_LIFETIME);
-        fresh.map(|told| told.demand.clone()).unwrap_or_default()
+        let report = state.domains.get(domain);
+        let fresh = report
+            .filter(|report| now.saturating_duration_since(report.received_at) < REPORT_LIFETIME);
+        fresh.map(|report| report.demand.clone()).unwrap_or_default()
     }
 
-    /// Takes this node's own work and prompts.
-    pub fn note_own(
+    /// Adds this node's own work and prompts.
+    pub fn add_own(
         &self,
         vm: &Name,
         work_ms: &[(Name, f64)],
@@ -109,8 +114,8 @@
         state.prompts.add(vm, prompts, now);
     }
 
-    /// Takes prompts that nodes of another failure domain sent, for the followers.
-    pub fn note_domain_prompts(&self, prompts: &[PromptRecord]) {
+    /// Adds prompts of another failure domain, to be passed on to the followers.
+    pub fn add_domain_prompts(&self, prompts: &[PromptRecord]) {
         self.lock().prompts.add_foreign(prompts);
     }
 
@@ -122,31 +127,34 @@
     /// Returns the copies that followers use.
     pub fn follower_copies(&self) -> Vec<CopyUse> {
         let state = self.lock();
-        state.followers.values().flat_map(|told| told.copies.iter().cloned()).collect()
+        state.followers.values().flat_map(|report| report.copies.iter().cloned()).collect()
     }
 
     /// Returns the copies that followers and other failure domains use.
     pub fn copies_in_use(&self) -> Vec<CopyUse> {
         let state = self.lock();
-        let told = state.followers.values().chain(state.domains.values());
-        told.flat_map(|told| told.copies.iter().cloned()).collect()
+        let reports = state.followers.values().chain(state.domains.values());
+        reports.flat_map(|report| report.copies.iter().cloned()).collect()
     }
 
-    /// Returns what followers and other failure domains have under way, without one follower.
-    pub fn loads_but(&self, vm: Option<&str>, with_domains: bool, now: Instant) -> Loads {
+    /// Returns the summed loads of the followers other than `vm` and, if `with_domains` is set, of the
+    /// other failure domains.
+    pub fn other_loads(&self, vm: Option<&str>, with_domains: bool, now: Instant) -> Loads {
         let mut state = self.lock();
-        let is_fresh = |at: Instant| now.saturating_duration_since(at) < TOLD_LIFETIME;
-        state.followers.retain(|_, told| is_fresh(told.at));
-        let mut sum = Loads::new();
-        for (name, told) in &state.followers {
+        let is_fresh = |at: Instant| now.saturating_duration_since(at) < REPORT_LIFETIME;
+        state.followers.retain(|_, report| is_fresh(report.received_at));
+        let mut total = Loads::new();
+        for (name, report) in &state.followers {
             if Some(&**name) != vm {
-                add_loads(&mut sum, &told.loads);
+                add_loads(&mut total, &report.loads);
             }
         }
-        for told in state.domains.values().filter(|told| with_domains && is_fresh(told.at)) {
-            add_loads(&mut sum, &told.loads);
+        for report in
+            state.domains.values().filter(|report| with_domains && is_fresh(report.received_at))
+        {
+            add_loads(&mut total, &report.loads);
         }
-        sum
+        total
     }
 }
 
@@ -158,10 +166,10 @@
     }
 }
 
-/// Adds loads to a sum.
-pub fn add_loads(sum: &mut Loads, loads: &Loads) {
+/// Adds loads by server to a total.
+pub fn add_loads(total: &mut Loads, loads: &Loads) {
     for (server, load) in loads {
-        sum.entry(server.clone()).or_default().add(load);
+        total.entry(server.clone()).or_default().add(load);
     }
 }
 
@@ -179,16 +187,16 @@
         };
         let mut loads = match req.role {
             Role::Follower => {
-                cx.peer_reports.note_follower(&req, now);
-                note_prompts(cx, &req.prompts, now);
-                cx.peer_reports.loads_but(Some(&req.member.vm), true, now)
+                cx.peer_reports.record_follower(&req, now);
+                record_prompts(cx, &req.prompts, now);
+                cx.peer_reports.other_loads(Some(&req.member.vm), true, now)
             }
             Role::Holder => {
                 let loads = req.loads.clone();
-                let asking = &req.member.failure_domain;
-                cx.peer_reports.note_domain(asking, loads, now);
-                cx.peer_reports.note_domain_needs(&req, now);
-                cx.peer_reports.loads_but(None, false, now)
+                let asking_domain = &req.member.failure_domain;
+                cx.peer_reports.record_domain_loads(asking_domain, loads, now);
+                cx.peer_reports.record_domain_demand(&req, now);
+                cx.peer_reports.other_loads(None, false, now)
             }
         };
         add_loads(&mut loads, cx.boards.lock().loads.own());
@@ -243,8 +251,8 @@
     }
 }
 
-/// Takes prompts that other nodes sent.
-pub fn note_prompts(cx: &NodeContext, prompts: &[PromptRecord], now: Instant) {
+/// Records in the prefix index the prompts that other nodes sent to servers.
+pub fn record_prompts(cx: &NodeContext, prompts: &[PromptRecord], now: Instant) {
     let view = cx.fleet.view();
     let Some(deployment) = view.deployment() else { return };
     let mut boards = cx.boards.lock();
@@ -259,11 +267,11 @@
     }
 }
 
-/// Starts answering other nodes.
+/// Starts the server for calls of other nodes.
 ///
 /// # Errors
 ///
-/// Returns an error where the address cannot be listened on.
+/// Returns an error if the address cannot be listened on.
 pub async fn start(cx: &Arc<NodeContext>) -> Result<(), NodeError> {
     let address = cx.settings.peers_listen();
     let listening = tarpc::serde_transport::tcp::listen(address, Bincode::default).await;
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -1,4 +1,5 @@
-//! Keeps this node in step with the duty holder of its failure domain, or holders with each other.
+//! The client side of the calls between nodes: a follower exchanges state with the leader of its failure
+//! domain, and leaders exchange state with each other.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,63 +12,69 @@
 use tokio::sync::watch;
 
 use super::context::NodeContext;
-use super::peer_server::{add_loads, note_prompts};
+use super::peer_server::{add_loads, record_prompts};
 use super::rpc::{PeerError, Position, Role, SyncReply, SyncRequest};
 use super::store_reader::accept_config;
 use super::view::{AcceptedConfig, DomainLeader};
 
-/// The time for one call of another node of the failure domain.
+/// Timeout for one call to the leader of this failure domain.
 const FOLLOW_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The time for one call across regions.
+/// Timeout for one call to the leader of another failure domain, which may be in another region.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The time to fetch a configuration.
+/// Timeout for fetching a configuration.
 const CONFIG_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How often what is known of servers that are gone is forgotten.
-const TIDY_PERIOD: Duration = Duration::from_secs(5);
+/// Interval at which the routing state of servers that are gone is removed.
+const CLEANUP_PERIOD: Duration = Duration::from_secs(5);
 
-/// Calls in a row without an answer after which a holder counts as lost.
+/// Number of consecutive failed calls after which a leader counts as lost.
 const LOST_AFTER: u32 = 2;
 
-/// What a node that follows knows of its holder.
+/// The state of a follower towards its leader.
 #[derive(Debug, Default)]
 struct Following {
     leader: Option<DomainLeader>,
     have: Position,
-    failures: u32,
+    failed_calls: u32,
     /// Whether a newer configuration is being fetched.
     fetching: Arc<AtomicBool>,
 }
 
-/// Follows the holder of this node's failure domain; `read_store` tells the reader whether this node
-/// has to read the store itself.
+/// Follows the leader of this node's failure domain. `read_store` tells the store reader whether this
+/// node has to read the store itself.
 pub async fn follow(cx: Arc<NodeContext>, read_store: watch::Sender<bool>) {
     let mut following = Following::default();
-    let mut tidied = cx.now();
+    let mut cleaned_at = cx.now();
     let period = Duration::from_millis(cx.settings.sync_period_ms);
     loop {
-        let takes_servers = !*read_store.borrow();
-        let must_read = step(&cx, &mut following, takes_servers).await;
+        let applies_servers = !*read_store.borrow();
+        let must_read_store = follow_once(&cx, &mut following, applies_servers).await;
         cx.fleet.update(|state| state.expire_members(cx.now()));
-        if cx.now() - tidied >= TIDY_PERIOD {
-            tidied = cx.now();
+        if cx.now() - cleaned_at >= CLEANUP_PERIOD {
+            cleaned_at = cx.now();
             let view = cx.fleet.view();
             cx.boards.lock().retain(|server| view.servers.contains_key(server));
         }
-        read_store.send_if_modified(|reads| std::mem::replace(reads, must_read) != must_read);
+        read_store
+            .send_if_modified(|reads| std::mem::replace(reads, must_read_store) != must_read_store);
         tokio::time::sleep(period).await;
     }
 }
 
-/// Makes one step; returns whether this node has to read the store itself.
-async fn step(cx: &Arc<NodeContext>, following: &mut Following, takes_servers: bool) -> bool {
+/// Calls the leader once, unless this node is a leader itself; returns whether this node has to read
+/// the store.
+async fn follow_once(
+    cx: &Arc<NodeContext>,
+    following: &mut Following,
+    applies_servers: bool,
+) -> bool {
     let domain = &cx.settings.failure_domain;
     let own = &cx.settings.vm;
-    // A holder reads for the others; so does one that still holds a foreign domain's duty.
+    // A leader reads the store for its followers, also when it leads another failure domain only.
     if cx.controllers.leads_any() {
-        publish_own(cx);
+        share_own_state(cx);
         return true;
     }
     let leader = cx.fleet.read(|state| state.leader(domain).cloned());
@@ -75,41 +82,41 @@
     if following.leader.as_ref() != Some(&leader) {
         *following = Following { leader: Some(leader.clone()), ..Following::default() };
     }
-    match call(cx, following, &leader).await {
+    match call_leader(cx, following, &leader).await {
         Ok(reply) => {
-            if following.failures >= LOST_AFTER {
+            if following.failed_calls >= LOST_AFTER {
                 log::info!(holder = &*leader.vm; "holder regained");
             }
-            following.failures = 0;
+            following.failed_calls = 0;
             fetch_config(cx, &leader, &following.fetching, reply.position.config);
-            apply(cx, following, reply, takes_servers)
+            apply_reply(cx, following, reply, applies_servers)
         }
         Err(err) => {
-            following.failures += 1;
-            if following.failures == LOST_AFTER {
+            following.failed_calls += 1;
+            if following.failed_calls == LOST_AFTER {
                 log::warn!(holder = &*leader.vm, err:% = err; "holder lost");
             }
             cx.peers.forget(leader.peers);
-            following.failures >= LOST_AFTER
+            following.failed_calls >= LOST_AFTER
         }
     }
 }
 
-async fn call(
+async fn call_leader(
     cx: &NodeContext,
     following: &Following,
     leader: &DomainLeader,
 ) -> Result<SyncReply, PeerError> {
-    let req = request(cx, following);
+    let req = follower_request(cx, following);
     let exchange = async {
         let connection = cx.peers.get(leader.peers).await?;
         connection.sync(req, FOLLOW_TIMEOUT).await
     };
-    let timed_out = || PeerError { address: leader.peers, problem: "no answer in time".to_owned() };
+    let timed_out = || PeerError { address: leader.peers, problem: "call timed out".to_owned() };
     tokio::time::timeout(FOLLOW_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(timed_out()))
 }
 
-fn request(cx: &NodeContext, following: &Following) -> SyncRequest {
+fn follower_request(cx: &NodeContext, following: &Following) -> SyncRequest {
     let mut boards = cx.boards.lock();
     SyncRequest {
         member: cx.member.clone(),
@@ -124,25 +131,25 @@
     }
 }
 
-fn apply(
+fn apply_reply(
     cx: &NodeContext,
     following: &mut Following,
     reply: SyncReply,
-    takes_servers: bool,
+    applies_servers: bool,
 ) -> bool {
     let now = cx.now();
-    // A node that does not hear the store, or has just started, may know less than this one.
-    let takes_servers = takes_servers && reply.is_holder;
+    // A node without contact to the store, or one that has just started, may know less than this one.
+    let applies_servers = applies_servers && reply.is_holder;
     cx.boards.lock().loads.set_others(reply.loads.iter().cloned().collect());
-    note_prompts(cx, &reply.prompts, now);
+    record_prompts(cx, &reply.prompts, now);
     cx.fleet.update(|state| {
-        if takes_servers {
+        if applies_servers {
             state.apply_servers(&reply);
         }
         state.confirm_members(None, now);
         if let Some((members, leaders)) = &reply.members {
             state.set_members(members.clone(), now);
-            if takes_servers {
+            if applies_servers {
                 for (domain, leader) in leaders {
                     state.set_leader(domain, Some(leader.clone()));
                 }
@@ -150,8 +157,8 @@
         }
     });
     following.have = reply.position;
-    if !takes_servers {
-        // What was not taken has to be told again.
+    if !applies_servers {
+        // What was not applied has to be sent again.
         following.have.tenure = 0;
     }
     let nodes = cx.fleet.view().members.len();
@@ -159,23 +166,24 @@
     !reply.is_holder
 }
 
-/// Passes this holder's own counts to its hub, and the sums of all others to its boards.
-fn publish_own(cx: &NodeContext) {
+/// Adds this leader's own work and prompts to the collected reports, and copies the loads of all other
+/// nodes to its routing state.
+fn share_own_state(cx: &NodeContext) {
     let now = cx.now();
     let (work_ms, prompts) = {
         let mut boards = cx.boards.lock();
         let work_ms: Vec<(Name, f64)> = boards.work_ms.drain().collect();
         (work_ms, std::mem::take(&mut boards.prompts))
     };
-    cx.peer_reports.note_own(&cx.settings.vm, &work_ms, &prompts, now);
-    let others = cx.peer_reports.loads_but(None, true, now);
+    cx.peer_reports.add_own(&cx.settings.vm, &work_ms, &prompts, now);
+    let others = cx.peer_reports.other_loads(None, true, now);
     let nodes = cx.fleet.view().members.len();
     let mut boards = cx.boards.lock();
     boards.loads.set_others(others);
     boards.budget.set_nodes(nodes);
 }
 
-/// Exchanges sums and news with the holders of other failure domains while this node is a holder.
+/// Exchanges loads and changes with the leaders of other failure domains while this node is a leader.
 pub async fn exchange(cx: Arc<NodeContext>) {
     let mut positions: HashMap<Name, Position> = HashMap::new();
     let period = Duration::from_millis(cx.settings.exchange_period_ms);
@@ -203,21 +211,21 @@
     }
 }
 
-/// Fetches a newer configuration from another node in a task of its own: with many routes it takes
-/// longer than news may wait.
+/// Fetches a newer configuration from another node in a task of its own: a configuration with many
+/// routes takes longer than the exchange of other state may be delayed.
 fn fetch_config(
     cx: &Arc<NodeContext>,
     leader: &DomainLeader,
     fetching: &Arc<AtomicBool>,
-    offered: u64,
+    offered_version: u64,
 ) {
-    if offered <= cx.fleet.view().version() || fetching.swap(true, Ordering::Relaxed) {
+    if offered_version <= cx.fleet.view().version() || fetching.swap(true, Ordering::Relaxed) {
         return;
     }
     let (cx, address, fetching) = (cx.clone(), leader.peers, fetching.clone());
     tokio::spawn(async move {
         if let Err(err) = try_fetch_config(&cx, address).await {
-            log::warn!(err:% = err; "config not fetched");
+            log::warn!(err:% = err; "cannot fetch the config");
         }
         fetching.store(false, Ordering::Relaxed);
     });
@@ -240,7 +248,7 @@
     have: Position,
 ) -> Option<Position> {
     let now = cx.now();
-    let mut loads: HashMap<Name, ServerLoad> = cx.peer_reports.loads_but(None, false, now);
+    let mut loads: HashMap<Name, ServerLoad> = cx.peer_reports.other_loads(None, false, now);
     add_loads(&mut loads, cx.boards.lock().loads.own());
     let req = SyncRequest {
         member: cx.member.clone(),
@@ -266,9 +274,9 @@
         }
     };
     fetch_config(cx, leader, &Arc::default(), reply.position.config);
-    cx.peer_reports.note_domain(domain, reply.loads.clone(), cx.now());
-    cx.peer_reports.note_domain_prompts(&reply.prompts);
-    note_prompts(cx, &reply.prompts, cx.now());
+    cx.peer_reports.record_domain_loads(domain, reply.loads.clone(), cx.now());
+    cx.peer_reports.add_domain_prompts(&reply.prompts);
+    record_prompts(cx, &reply.prompts, cx.now());
     cx.fleet.update(|state| {
         for server in reply.servers.iter().filter(|server| server.failure_domain == *domain) {
             let residency = super::fleet::Residency {
--- a/savoryport/src/node/view.rs
+++ b/savoryport/src/node/view.rs
@@ -1,4 +1,4 @@
-//! What a node believes of the fleet, as one immutable snapshot.
+//! An immutable snapshot of what a node knows about the fleet.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -13,44 +13,44 @@
 use savoryport_core::node::registry::BackendServer;
 use serde::{Deserialize, Serialize};
 
-/// A node that takes callers' requests.
+/// A node that accepts callers' requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The VM.
+    /// The name of the node's VM.
     pub vm: Name,
-    /// Its failure domain.
+    /// The failure domain of the VM.
     pub failure_domain: Name,
-    /// Where it takes callers' requests.
+    /// The address for callers' requests.
     pub callers: SocketAddr,
 }
 
-/// The node that holds the duty for a failure domain's servers.
+/// The leader of a failure domain: the node that may send orders to the servers there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainLeader {
-    /// The VM.
+    /// The name of the leader's VM.
     pub vm: Name,
-    /// Where it answers other nodes.
+    /// The address for calls of other nodes.
     pub peers: SocketAddr,
 }
 
-/// The operators' configuration with the bytes that it was decoded from, which are relayed.
+/// The operators' configuration with the bytes that it was decoded from, which are sent to followers.
 ///
-/// They are kept compressed: with some thousand routes they are half a megabyte, which takes the link
-/// of a small VM a second for each follower.
+/// The bytes are kept compressed: with a few thousand routes they are half a megabyte, which takes the
+/// link of a small VM one second for each follower.
 #[derive(Debug, Clone)]
 pub struct AcceptedConfig {
     /// The decoded configuration.
     pub deployment: Arc<Deployment>,
-    /// The bytes as they lie in the store, compressed.
+    /// The bytes of the store's value, compressed.
     packed: Arc<[u8]>,
 }
 
 impl AcceptedConfig {
-    /// Packs a configuration with the bytes that it was decoded from.
+    /// Creates a configuration with the bytes that it was decoded from, and compresses these.
     ///
     /// # Errors
     ///
-    /// Returns the library's error, which memory alone can cause.
+    /// Returns an error of the compression library, which only a lack of memory can cause.
     pub fn pack(deployment: Deployment, raw: &[u8]) -> io::Result<Self> {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(raw)?;
@@ -62,11 +62,11 @@
         &self.packed
     }
 
-    /// Returns the bytes that were packed.
+    /// Decompresses the bytes of a configuration. Bytes beyond `MAX_CONFIG_BYTES` are cut off.
     ///
     /// # Errors
     ///
-    /// Returns an error for bytes that were not packed like this, or that are too many.
+    /// Returns an error for bytes that [`Self::pack`] did not compress.
     pub fn unpack(packed: &[u8]) -> io::Result<Vec<u8>> {
         let mut raw = Vec::new();
         let decoder = DeflateDecoder::new(packed);
@@ -75,19 +75,20 @@
     }
 }
 
-/// The longest configuration that is unpacked, in bytes: several times what a value of the store holds.
+/// Upper bound of a decompressed configuration, in bytes: several times the size limit of a value in
+/// the store.
 const MAX_CONFIG_BYTES: u64 = 8 * 1024 * 1024;
 
-/// One snapshot.
+/// One snapshot of the fleet.
 #[derive(Debug, Clone, Default)]
 pub struct FleetView {
     /// The configuration in force, once one is known.
     pub config: Option<AcceptedConfig>,
     /// Backend servers by id.
     pub servers: BTreeMap<Name, Arc<BackendServer>>,
-    /// Nodes that take callers' requests, this one included.
+    /// Nodes that accept callers' requests, this one included.
     pub members: Vec<Member>,
-    /// Duty holders by failure domain.
+    /// Leaders by failure domain.
     pub leaders: BTreeMap<Name, DomainLeader>,
 }
 
