--- a/savoryport/tests/node_site/mod.rs
+++ b/savoryport/tests/node_site/mod.rs
@@ -1,6 +1,7 @@
-//! A small platform deployment for tests: real nodes as processes, stand-ins in the test's own.
+//! A small platform deployment for tests: real nodes run as processes, stand-ins for the store and the
+//! servers run in the test process.
 
-// Each test program uses its own part of this.
+// Each test binary uses only some of these helpers.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -19,16 +20,16 @@
 use tempfile::TempDir;
 use ureq::Agent;
 
-/// How long a site may take to come up.
-const START_LIMIT: Duration = Duration::from_secs(20);
+/// How long a site may take to start, or a condition to become true.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The pause between two looks at a condition.
-const POLL: Duration = Duration::from_millis(20);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The lease that the site's settings and the rules of turns use, in milliseconds.
+/// The shortest time between orders of two leaders to one server, in milliseconds.
 pub const ORDER_TURN_MS: u64 = 1_500;
 
-/// One node.
+/// A node process, which can be stopped and started again.
 pub struct SiteNode {
     pub name: String,
     pub callers: String,
@@ -37,50 +38,50 @@
     settings_file: PathBuf,
     process: Option<Child>,
     pub log_lines: Arc<Mutex<Vec<String>>>,
-    /// Stands between the node and the store.
+    /// The proxy between the node and the store, which can inject faults.
     pub store_proxy: Proxy,
 }
 
-/// The models that engines start with, and the seconds that a load of each takes.
+/// The configured models, with the load time of each in seconds.
 const MODELS: [(&str, f64); 3] = [("m0", 0.4), ("m1", 0.4), ("m2", 0.4)];
 
-/// A whole site. Its processes end with it.
+/// A deployment of nodes, servers and a store. Dropping it ends the node processes.
 pub struct NodeSite {
     pub store: MetadataStandin,
     pub servers: Vec<BackendStandin>,
     pub nodes: Vec<SiteNode>,
     pub config_version: u64,
-    /// Models of the engines, with the seconds that a load takes.
+    /// Models for the next configuration, with the load time of each in seconds.
     pub models: Vec<(&'static str, f64)>,
-    /// Servers that were started, which tells their incarnations apart.
+    /// The number of servers started so far, from which each gets its own incarnation.
     starts: u64,
     _dir: TempDir,
 }
 
-/// An answer as a caller sees it.
+/// A response as a caller receives it; the status is 0 if none came.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerResponse {
     pub status: u16,
-    /// The server's proof, if the answer has one.
+    /// The `X-Server-Stamp` header, by which a server proves that it ran the request.
     pub server_stamp: Option<String>,
     pub retry_after: Option<String>,
-    /// The body, or nothing where it broke off.
+    /// The body, or nothing if it was cut off.
     pub body: Option<String>,
 }
 
-/// What a caller asks.
+/// The kind of a caller's request, which selects one of the configured routes.
 #[derive(Debug, Clone, Copy)]
 pub enum RequestKind {
-    /// Not repeatable.
+    /// A request that must not run twice.
     NonIdempotent,
-    /// Repeatable.
+    /// A request that may be repeated.
     Idempotent,
-    /// A stream that may go on elsewhere, of a model or an adapter.
+    /// A stream that may be resumed at another server, for a model or `model/adapter`.
     Stream(&'static str),
 }
 
 impl NodeSite {
-    /// Starts `nodes` nodes before four engines and three plain servers.
+    /// Starts `nodes` nodes, four model engines and three plain servers, and waits until they serve.
     pub fn start(nodes: usize) -> Self {
         let dir = TempDir::new().expect("a temporary directory");
         let store = MetadataStandin::start("127.0.0.1:0");
@@ -105,7 +106,7 @@
             site.add_node(&format!("vm-{number}"));
         }
         site.wait_until("every node is ready", |site| site.nodes.iter().all(SiteNode::is_ready));
-        site.wait_until("somebody holds the duty", |site| {
+        site.wait_until("a node is the leader", |site| {
             !site.store.keys("savoryport/duty/").is_empty()
         });
         site.wait_until("the servers are known", |site| {
@@ -162,13 +163,13 @@
         self.add_server_with_interval(id, service, models, Duration::from_millis(10));
     }
 
-    /// Starts a server that sends the events of a stream at this pace.
+    /// Starts a server that sends the events of a stream at this interval.
     pub fn add_server_with_interval(
         &mut self,
         id: &str,
         service: &str,
         models: &[&str],
-        pace: Duration,
+        event_interval: Duration,
     ) {
         let config = BackendConfig {
             id: id.to_owned(),
@@ -178,14 +179,14 @@
             adapter_places: 3,
             model_places: 3,
             events: 8,
-            pace,
+            pace: event_interval,
         };
         self.starts += 1;
-        let born = 1_000 + self.starts;
-        self.servers.push(BackendStandin::start("127.0.0.1:0", config, &self.store, born));
+        let incarnation = 1_000 + self.starts;
+        self.servers.push(BackendStandin::start("127.0.0.1:0", config, &self.store, incarnation));
     }
 
-    /// Replaces the engines by ones that started anew under the same ids and hold nothing.
+    /// Replaces the engines by new ones with the same ids, which hold no models.
     pub fn restart_engines(&mut self) {
         let is_engine = |server: &BackendStandin| server.id().starts_with("engine-");
         let ids: Vec<String> = self
@@ -237,23 +238,23 @@
         self.nodes.push(node);
     }
 
-    /// Waits for a condition.
+    /// Waits until a condition is true.
     ///
     /// # Panics
     ///
-    /// Panics with the nodes' last lines where it does not come.
+    /// Panics if it does not become true in time, and prints the last log lines of the nodes.
     pub fn wait_until(&self, what: &str, condition: impl Fn(&Self) -> bool) {
-        let ends = Instant::now() + START_LIMIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !condition(self) {
-            if Instant::now() > ends {
+            if Instant::now() > deadline {
                 self.print_last_log_lines(10);
-                panic!("did not come: {what}");
+                panic!("timed out waiting until {what}");
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Prints the last lines of every node, but for those that end requests.
+    /// Prints the last log lines of every node, without those about ended requests, and its status.
     pub fn print_last_log_lines(&self, count: usize) {
         for node in &self.nodes {
             let lines = node.log_lines.lock().expect("no holder panics");
@@ -262,22 +263,22 @@
                 .map(String::as_str)
                 .filter(|line| !line.contains("request ended"))
                 .collect();
-            let last = lines.len().saturating_sub(count);
-            eprintln!("{}:\n{}\n{}", node.name, lines[last..].join("\n"), node.status());
+            let first = lines.len().saturating_sub(count);
+            eprintln!("{}:\n{}\n{}", node.name, lines[first..].join("\n"), node.status());
         }
     }
 
-    /// Asks a node.
+    /// Sends a caller's request to a node.
     pub fn send(&self, node: usize, id: &str, kind: RequestKind) -> CallerResponse {
         self.nodes[node].send(id, kind)
     }
 
-    /// Returns how often a request ran over all servers.
+    /// Returns how often a request ran, summed over all servers.
     pub fn runs_of(&self, request: &str) -> u32 {
         self.servers.iter().map(|server| server.runs_of(request)).sum()
     }
 
-    /// Returns how often each request ran over all servers.
+    /// Returns how often each request ran, summed over all servers.
     pub fn runs(&self) -> HashMap<String, u32> {
         let mut runs = HashMap::new();
         for (request, count) in self.servers.iter().flat_map(BackendStandin::runs) {
@@ -286,16 +287,17 @@
         runs
     }
 
-    /// Returns the VM that holds the duty, by the servers' account of who ordered last.
+    /// Returns the keys in the store that name leaders, one for each led failure domain.
     pub fn duty_keys(&self) -> Vec<String> {
         self.store.keys("savoryport/duty/")
     }
 }
 
 impl SiteNode {
-    /// Starts the process. Only the first start is one of the whole system.
+    /// Starts the process. Only the first call has the setting `first_start`.
     pub fn start(&mut self) {
-        std::fs::write(&self.settings_file, self.settings.to_string()).expect("a writable place");
+        std::fs::write(&self.settings_file, self.settings.to_string())
+            .expect("the settings file is writable");
         self.settings["first_start"] = false.into();
         let mut child = Command::new(env!("CARGO_BIN_EXE_savoryport-node"))
             .arg("--settings")
@@ -322,18 +324,18 @@
         }
     }
 
-    /// Waits for the process to end.
+    /// Waits for the process to exit and returns its status.
     pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         self.process.take().and_then(|mut process| process.wait().ok())
     }
 
-    /// Returns whether the node answers where to connect and takes callers.
+    /// Returns whether the node reports that it is ready for callers.
     pub fn is_ready(&self) -> bool {
         let url = format!("http://{}/savoryport/readiness", self.directory);
         agent(Duration::from_millis(500)).get(&url).call().is_ok_and(|res| res.status() == 200)
     }
 
-    /// Returns the addresses that the node names to callers.
+    /// Returns the addresses that the node's directory gives to callers.
     pub fn addresses(&self) -> Vec<String> {
         let url = format!(
             "http://{}/savoryport/resolution?name=site.example&region=east&zone=east-a",
@@ -347,15 +349,15 @@
         addresses.iter().filter_map(|address| address.as_str().map(str::to_owned)).collect()
     }
 
-    /// Returns what the node believes, as its status page shows it.
+    /// Returns the content of the node's status page.
     pub fn status(&self) -> String {
         let url = format!("http://127.0.0.1:{}/status", self.settings["metrics_port"]);
-        let answer = agent(Duration::from_millis(500)).get(&url).call();
-        let body = answer.ok().and_then(|mut answer| answer.body_mut().read_to_string().ok());
+        let response = agent(Duration::from_millis(500)).get(&url).call();
+        let body = response.ok().and_then(|mut response| response.body_mut().read_to_string().ok());
         body.unwrap_or_else(|| "no status".to_owned())
     }
 
-    /// Asks the node as a caller.
+    /// Sends a caller's request to this node.
     pub fn send(&self, id: &str, kind: RequestKind) -> CallerResponse {
         send_request(&self.callers, id, kind)
     }
@@ -370,11 +372,11 @@
     }
 }
 
-/// Asks a node as a caller.
+/// Sends a caller's request to the node at `address`.
 pub fn send_request(address: &str, id: &str, kind: RequestKind) -> CallerResponse {
     let agent = agent(Duration::from_secs(8));
     let url = |path: &str| format!("http://{}/{path}/{id}", address);
-    let sent = match kind {
+    let result = match kind {
         RequestKind::Idempotent => agent
             .get(url("lookup"))
             .header("Host", "site.example")
@@ -398,7 +400,7 @@
             .header("X-Hold", "not the caller's to set")
             .send("draft"),
     };
-    let Ok(mut res) = sent else {
+    let Ok(mut res) = result else {
         return CallerResponse { status: 0, server_stamp: None, retry_after: None, body: None };
     };
     let header = |name: &str| {
@@ -422,7 +424,7 @@
     config.into()
 }
 
-/// Returns the whole stream that a caller is owed.
+/// Returns the body that a caller must receive for a stream request.
 pub fn expected_stream(id: &str) -> String {
     (1..=8).map(|event| format!("id: {event}\ndata: event {event} of {id}\n\n")).collect()
 }
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -1,7 +1,8 @@
-//! A randomized soak: real nodes as processes, faults from outside, promises checked meanwhile.
+//! A randomized soak test: injects faults into node processes, servers and the store, and checks the
+//! guarantees to callers and servers.
 //!
-//! CI plays a few seeds; `SAVORYPORT_SOAK_SEEDS=100..150` plays others by hand. A seed that ever failed
-//! stays in [`KEPT_SEEDS`] with a line on its cause.
+//! CI runs a few seeds; set `SAVORYPORT_SOAK_SEEDS=100..150` to run others by hand. A seed that ever
+//! failed stays in [`REGRESSION_SEEDS`], with a line on the cause.
 
 mod node_site;
 
@@ -18,58 +19,60 @@
 use savoryport_standin::metadata::StoreMode;
 use savoryport_standin::proxy::Faults;
 
-/// Seeds that CI plays.
+/// Seeds that CI runs.
 const CI_SEEDS: std::ops::Range<u64> = 0..3;
 
-/// Seeds that failed once, played again each time.
+/// Seeds that have failed before and are run every time.
 ///
-/// 113: a holder that started anew told its followers an empty list of servers, and what they did not
-/// take of its answers while they read the store themselves was never told again.
-const KEPT_SEEDS: [u64; 1] = [113];
+/// 113: a restarted leader sent its followers an empty list of servers. Followers that were reading
+/// the store themselves did not apply its replies, and what they skipped was never sent again.
+const REGRESSION_SEEDS: [u64; 1] = [113];
 
-/// How long faults come.
-const FAULTS_FOR: Duration = Duration::from_secs(5);
+/// How long faults are injected.
+const FAULT_PERIOD: Duration = Duration::from_secs(5);
 
-/// Callers that ask all the time.
+/// Number of callers that send requests continuously.
 const CALLERS: u64 = 6;
 
-/// After the last fault, requests are served again within this time: a lease and a turn must pass.
-const RECOVERS_WITHIN: Duration = Duration::from_secs(8);
+/// Time after the last fault within which requests are served again. It has to cover a lease and the
+/// time between orders of two leaders.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What callers were told, by request.
-type Told = HashMap<String, (RequestKind, u16)>;
+/// The kind and the response status of each request, by its id.
+type Responses = HashMap<String, (RequestKind, u16)>;
 
 #[test]
-fn promises_hold_under_series_of_faults() {
-    for seed in KEPT_SEEDS.into_iter().chain(seeds()) {
+fn guarantees_hold_under_random_faults() {
+    for seed in REGRESSION_SEEDS.into_iter().chain(seeds()) {
         println!("seed {seed}");
-        play(seed);
+        run_seed(seed);
     }
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    let asked = std::env::var("SAVORYPORT_SOAK_SEEDS").ok();
-    let bounds = asked.as_deref().and_then(|asked| {
-        let (first, end) = asked.split_once("..")?;
+    let range = std::env::var("SAVORYPORT_SOAK_SEEDS").ok();
+    let bounds = range.as_deref().and_then(|range| {
+        let (first, end) = range.split_once("..")?;
         Some(first.parse().ok()?..end.parse().ok()?)
     });
     bounds.unwrap_or(CI_SEEDS)
 }
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut site = NodeSite::start(3);
-    let told: Mutex<Told> = Mutex::default();
-    let (done, count) = (AtomicBool::new(false), AtomicU64::new(0));
+    let responses: Mutex<Responses> = Mutex::default();
+    let (stopping, next_id) = (AtomicBool::new(false), AtomicU64::new(0));
     let targets: Vec<(usize, String)> =
         site.nodes.iter().map(|node| node.callers.clone()).enumerate().collect();
     std::thread::scope(|scope| {
         for caller in 0..CALLERS {
-            let (told, done, count, targets) = (&told, &done, &count, &targets);
+            let (responses, stopping, next_id, targets) =
+                (&responses, &stopping, &next_id, &targets);
             scope.spawn(move || {
                 let mut rng = SmallRng::seed_from_u64(seed * 1_000 + caller);
-                while !done.load(Ordering::Relaxed) {
-                    let id = format!("r{seed}-{}", count.fetch_add(1, Ordering::Relaxed));
+                while !stopping.load(Ordering::Relaxed) {
+                    let id = format!("r{seed}-{}", next_id.fetch_add(1, Ordering::Relaxed));
                     let kind = [
                         RequestKind::NonIdempotent,
                         RequestKind::Idempotent,
@@ -79,26 +82,26 @@
                     let (_, address) = &targets[rng.random_range(0..targets.len())];
                     let answer = node_site::send_request(address, &id, kind);
                     check_answer(seed, &id, kind, &answer);
-                    told.lock().expect("no holder panics").insert(id, (kind, answer.status));
+                    responses.lock().expect("no holder panics").insert(id, (kind, answer.status));
                 }
             });
         }
-        let ends = Instant::now() + FAULTS_FOR;
-        while Instant::now() < ends {
-            strike(&mut site, &mut rng);
+        let deadline = Instant::now() + FAULT_PERIOD;
+        while Instant::now() < deadline {
+            inject_fault(&mut site, &mut rng);
             std::thread::sleep(Duration::from_millis(rng.random_range(50..500)));
         }
-        heal(&mut site);
-        done.store(true, Ordering::Relaxed);
+        clear_faults(&mut site);
+        stopping.store(true, Ordering::Relaxed);
     });
-    check_runs(seed, &site, &told.into_inner().expect("no holder panics"));
+    check_runs(seed, &site, &responses.into_inner().expect("no holder panics"));
     check_orders(seed, &site);
     check_recovery(seed, &site);
 }
 
-/// After the last fault every node serves what it is asked, a new adapter included.
+/// Checks that every node serves requests after the last fault, including one for a new adapter.
 fn check_recovery(seed: u64, site: &NodeSite) {
-    let ends = Instant::now() + RECOVERS_WITHIN;
+    let deadline = Instant::now() + RECOVERY_TIMEOUT;
     for number in 0.. {
         let statuses: Vec<u16> = (0..3)
             .flat_map(|node| {
@@ -114,15 +117,15 @@
         if statuses.iter().all(|status| *status == 200) {
             return;
         }
-        if Instant::now() > ends {
+        if Instant::now() > deadline {
             site.print_last_log_lines(60);
             panic!("seed {seed}: not served after the faults: {statuses:?}");
         }
     }
 }
 
-/// Does one thing to the site from outside.
-fn strike(site: &mut NodeSite, rng: &mut SmallRng) {
+/// Injects one random fault, or ends one.
+fn inject_fault(site: &mut NodeSite, rng: &mut SmallRng) {
     let node = rng.random_range(0..site.nodes.len());
     let server = rng.random_range(0..site.servers.len());
     match rng.random_range(0..9) {
@@ -133,8 +136,11 @@
         }
         1 => {
             site.nodes[node].signal(Signal::TERM);
-            let ended = site.nodes[node].wait_for_exit();
-            assert!(ended.is_some_and(|status| status.success()), "a stop fails");
+            let status = site.nodes[node].wait_for_exit();
+            assert!(
+                status.is_some_and(|status| status.success()),
+                "the node does not stop cleanly"
+            );
             site.nodes[node].start();
         }
         2 => {
@@ -154,7 +160,7 @@
                 delay: Duration::from_millis(rng.random_range(0..300)),
                 ..Faults::default()
             };
-            site.nodes[node].store_proxy.set_faults(|present| *present = faults);
+            site.nodes[node].store_proxy.set_faults(|current| *current = faults);
         }
         5 => {
             let faults = [
@@ -173,56 +179,63 @@
     }
 }
 
-fn heal(site: &mut NodeSite) {
+fn clear_faults(site: &mut NodeSite) {
     site.store.set_mode(StoreMode::Up);
     for server in &site.servers {
         server.set_fault(BackendFault::None);
     }
     for node in &site.nodes {
-        node.store_proxy.set_faults(|present| *present = Faults::default());
+        node.store_proxy.set_faults(|current| *current = Faults::default());
     }
 }
 
-/// A success is whole, proven and the caller's own; nothing else bears a proof of success.
+/// Checks that a successful response is complete, has a server stamp and belongs to the request.
 fn check_answer(seed: u64, id: &str, kind: RequestKind, answer: &node_site::CallerResponse) {
     if answer.status != 200 {
         return;
     }
-    assert!(answer.server_stamp.is_some(), "seed {seed}: {id} has no proof");
-    // A stream that broke off has no body for its caller; one that ends well is whole.
+    assert!(answer.server_stamp.is_some(), "seed {seed}: {id} has no server stamp");
+    // A stream that was cut off has no body; one that ends normally must be complete.
     let Some(body) = &answer.body else { return };
-    let owed = match kind {
+    let expected = match kind {
         RequestKind::Stream(_) => expected_stream(id),
         RequestKind::NonIdempotent | RequestKind::Idempotent => format!("answer to {id}"),
     };
-    assert_eq!(*body, owed, "seed {seed}: {id}");
+    assert_eq!(*body, expected, "seed {seed}: {id}");
 }
 
-/// What may not repeat ran once at most, and not at all where the caller was told so.
-fn check_runs(seed: u64, site: &NodeSite, told: &Told) {
+/// Checks that a non-idempotent request ran at most once, and not at all where the response says so.
+fn check_runs(seed: u64, site: &NodeSite, responses: &Responses) {
     let runs = site.runs();
-    for (id, (kind, status)) in told {
+    for (id, (kind, status)) in responses {
         let ran = runs.get(id).copied().unwrap_or(0);
         if matches!(kind, RequestKind::NonIdempotent) {
             assert!(ran <= 1, "seed {seed}: {id} ran {ran} times");
-            let promised = [408, 421, 429, 503].contains(status);
-            assert!(!promised || ran == 0, "seed {seed}: {id} ran after {status}");
+            let says_not_run = [408, 421, 429, 503].contains(status);
+            assert!(!says_not_run || ran == 0, "seed {seed}: {id} ran after {status}");
         }
     }
     for id in runs.keys().filter(|id| id.starts_with('r')) {
-        assert!(told.contains_key(id), "seed {seed}: nobody asked {id}");
+        assert!(responses.contains_key(id), "seed {seed}: no caller sent {id}");
     }
 }
 
-/// Two holders never take turns within a lease, fencing tokens rise, and places are never exceeded.
+/// Checks that orders of two leaders to one server are at least [`ORDER_TURN_MS`] apart, that fencing
+/// tokens never fall, and that no server holds more models or adapters than fit.
 fn check_orders(seed: u64, site: &NodeSite) {
     for server in &site.servers {
         assert_eq!(server.overcommitted(), 0, "seed {seed}: {}", server.id());
         for pair in server.orders().windows(2) {
-            assert!(pair[1].fencing_token >= pair[0].fencing_token, "seed {seed}: token falls");
-            let apart = pair[1].at - pair[0].at >= Duration::from_millis(ORDER_TURN_MS);
+            assert!(
+                pair[1].fencing_token >= pair[0].fencing_token,
+                "seed {seed}: the fencing token fell"
+            );
+            let is_apart = pair[1].at - pair[0].at >= Duration::from_millis(ORDER_TURN_MS);
             let same = pair[0].fencing_token == pair[1].fencing_token;
-            assert!(same || pair[0].holder == pair[1].holder || apart, "seed {seed}: two holders");
+            assert!(
+                same || pair[0].holder == pair[1].holder || is_apart,
+                "seed {seed}: orders of two leaders too close"
+            );
         }
     }
 }
