--- a/savoryport/src/node/callers.rs
+++ b/savoryport/src/node/callers.rs
@@ -16,9 +16,9 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::NodeError;
-use super::answer::Body;
 use super::context::NodeContext;
-use super::relay;
+use super::proxy;
+use super::response::Body;
 
 /// The time for a head before a configuration gives one, and for an idle connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
@@ -51,7 +51,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = cx.closing.cancelled() => return,
+            () = cx.connection_shutdown.cancelled() => return,
         };
         let stream = match accepted {
             Ok((stream, _)) if open.load(Ordering::Relaxed) < most => stream,
@@ -64,7 +64,7 @@
         };
         open.fetch_add(1, Ordering::Relaxed);
         let (cx, open) = (cx.clone(), open.clone());
-        let serving = cx.serving.clone();
+        let serving = cx.caller_tasks.clone();
         serving.spawn(async move {
             serve(&cx, stream).await;
             open.fetch_sub(1, Ordering::Relaxed);
@@ -88,7 +88,7 @@
     let mut connection = pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = cx.closing.cancelled() => {
+        () = cx.connection_shutdown.cancelled() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -102,7 +102,7 @@
     cx: Arc<NodeContext>,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
-    let mut answer = relay::serve(cx.clone(), req).await;
+    let mut answer = proxy::serve(cx.clone(), req).await;
     if cx.stopping.is_cancelled() {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/savoryport/src/node/leadership.rs
+++ b/savoryport/src/node/leadership.rs
@@ -55,7 +55,7 @@
         }
         for domain in campaign.winnable_domains(&cx) {
             let delay = CAMPAIGN_DELAY.div_f64(cx.settings.cpu_share.max(MIN_CPU_SHARE));
-            tokio::time::sleep(delay + CAMPAIGN_JITTER.mul_f64(cx.draw())).await;
+            tokio::time::sleep(delay + CAMPAIGN_JITTER.mul_f64(cx.random_unit())).await;
             if cx.fleet.read(|state| state.leader(&domain).is_some()) {
                 continue;
             }
--- a/savoryport/src/node/peer_server.rs
+++ b/savoryport/src/node/peer_server.rs
@@ -16,7 +16,7 @@
 
 use super::NodeError;
 use super::context::NodeContext;
-use super::prompts::PromptLog;
+use super::prompt_log::PromptLog;
 use super::rpc::{
     CopyUse, MAX_MESSAGE_BYTES, Peer, Position, PromptRecord, Role, SyncReply, SyncRequest,
     WishReply,
@@ -71,7 +71,7 @@
             state.followers.insert(vm.clone(), report);
         }
         state.add_work(&req.work_ms);
-        state.prompts.add(vm, &req.prompts, now);
+        state.prompts.add_local(vm, &req.prompts, now);
     }
 
     /// Stores the summed loads of another failure domain.
@@ -111,12 +111,12 @@
     ) {
         let mut state = self.lock();
         state.add_work(work_ms);
-        state.prompts.add(vm, prompts, now);
+        state.prompts.add_local(vm, prompts, now);
     }
 
     /// Adds prompts of another failure domain, to be passed on to the followers.
     pub fn add_domain_prompts(&self, prompts: &[PromptRecord]) {
-        self.lock().prompts.add_foreign(prompts);
+        self.lock().prompts.add_remote(prompts);
     }
 
     /// Returns the work by model that arrived since the last call, in milliseconds.
@@ -199,15 +199,15 @@
                 cx.peer_reports.other_loads(None, false, now)
             }
         };
-        add_loads(&mut loads, cx.boards.lock().loads.own());
+        add_loads(&mut loads, cx.routing.lock().loads.own());
         let (prompt_count, prompts) = match req.role {
             Role::Follower => {
-                cx.peer_reports.lock().prompts.since(req.have.prompts, &req.member.vm)
+                cx.peer_reports.lock().prompts.records_since(req.have.prompts, &req.member.vm)
             }
             Role::Holder if req.have.tenure == cx.tenure => {
-                cx.peer_reports.lock().prompts.shared_since(req.have.prompts)
+                cx.peer_reports.lock().prompts.shared_prefixes_since(req.have.prompts)
             }
-            Role::Holder => cx.peer_reports.lock().prompts.shared_since(0),
+            Role::Holder => cx.peer_reports.lock().prompts.shared_prefixes_since(0),
         };
         let mut reply = SyncReply {
             position: Position::default(),
@@ -255,14 +255,14 @@
 pub fn record_prompts(cx: &NodeContext, prompts: &[PromptRecord], now: Instant) {
     let view = cx.fleet.view();
     let Some(deployment) = view.deployment() else { return };
-    let mut boards = cx.boards.lock();
+    let mut routing = cx.routing.lock();
     for PromptRecord { server, incarnation, keys } in prompts {
         let service = view
             .servers
             .get(server)
             .and_then(|known| deployment.services.get(&known.service)?.engine.as_ref());
         if let Some(class) = service {
-            boards.prefixes.record(server, *incarnation, keys, class.cache_tokens, now);
+            routing.prefixes.record(server, *incarnation, keys, class.cache_tokens, now);
         }
     }
 }
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -72,7 +72,7 @@
     for engine in engines.values() {
         engine.contents().clear_uses();
     }
-    let own = cx.boards.lock().copies_in_use();
+    let own = cx.routing.lock().copies_in_use();
     for usage in cx.peer_reports.copies_in_use().into_iter().chain(own) {
         if let Some(engine) = engines.get(&usage.server) {
             let mut contents = engine.contents();
--- a/savoryport/src/node/verdict.rs
+++ b/savoryport/src/node/server_response.rs
@@ -10,9 +10,9 @@
 use savoryport_core::Name;
 use savoryport_core::node::health::ServerOutcome;
 
-use super::answer::pass_on;
-use super::dispatch::Picked;
-use super::relay::{Attempt, Opened, Relay};
+use super::proxy::{Attempt, Opened, ProxyRequest};
+use super::response::pass_on;
+use super::server_selection::Picked;
 
 /// The rest of an answer that did not run is read for this long, to keep the connection.
 const REST_TIMEOUT: Duration = Duration::from_millis(50);
@@ -20,7 +20,7 @@
 /// The longest whole answer that is held in memory, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-impl Relay {
+impl ProxyRequest {
     pub(super) async fn whole_answer(&mut self, opened: Opened, picked: &Picked) -> Attempt {
         let Opened { status, mut headers, body, connection, mut flight, .. } = opened;
         match collect(body, self.left()).await {
@@ -29,8 +29,8 @@
                 self.note(&picked.server.id, ServerOutcome::Answered);
                 let took = self.cx.now() - flight.sent_at();
                 let server = &picked.server.id;
-                self.cx.boards.lock().speeds.note_service(server, &self.service, took);
-                self.cx.pool.keep(connection, keep_alive(&headers));
+                self.cx.routing.lock().speeds.note_service(server, &self.service, took);
+                self.cx.request_pool.keep(connection, keep_alive(&headers));
                 strip_connection_headers(&mut headers);
                 self.log_end("answered", status.as_u16(), None);
                 Attempt::Answer(pass_on(status, headers, body))
@@ -54,19 +54,19 @@
         self.cx.metrics.not_run.inc();
         self.learn_from_refusal(status, picked);
         if collect(body, REST_TIMEOUT).await.is_some() {
-            self.cx.pool.keep(connection, keep_alive(&headers));
+            self.cx.request_pool.keep(connection, keep_alive(&headers));
         }
     }
 
     fn learn_from_refusal(&self, status: StatusCode, picked: &Picked) {
         let (server, now) = (&picked.server, self.cx.now());
-        let mut boards = self.cx.boards.lock();
+        let mut routing = self.cx.routing.lock();
         match (status, self.copy_name()) {
             (StatusCode::MISDIRECTED_REQUEST, Some(copy)) => {
-                boards.health.note_denial(&server.id, copy, server.incarnation, now);
+                routing.health.note_denial(&server.id, copy, server.incarnation, now);
             }
             (StatusCode::SERVICE_UNAVAILABLE, _) => {
-                boards.health.note_full(&server.id, self.route.rank, now);
+                routing.health.note_full(&server.id, self.route.rank, now);
             }
             _ => {}
         }
@@ -88,7 +88,7 @@
         self.in_doubt = true;
         self.note(&picked.server.id, ServerOutcome::Failed);
         let Some(body) = body else { return Attempt::Next };
-        self.cx.pool.keep(connection, keep_alive(&headers));
+        self.cx.request_pool.keep(connection, keep_alive(&headers));
         strip_connection_headers(&mut headers);
         // A status that promises "not run" without the server's word for it would be a lie.
         if promises_not_run(status) && !self.route.kind.is_repeatable() {
--- a/savoryport/src/node/dispatch.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -12,9 +12,9 @@
 use savoryport_core::node::request::Generation;
 use savoryport_core::node::selection::{Candidate, Demanded, Distance, choose};
 
-use super::answer::{Cause, Refusal};
 use super::planner::domains_with_ready_servers;
-use super::relay::Relay;
+use super::proxy::ProxyRequest;
+use super::response::{Refusal, RefusalCause};
 use super::rpc::WishReply;
 use super::view::FleetView;
 
@@ -61,31 +61,34 @@
     Overload { expected: Duration, retry_after: Duration },
 }
 
-impl Relay {
+impl ProxyRequest {
     /// Counts the work that this request asks for.
     pub(super) fn note_work(&self) {
         let Some(asked) = &self.head.generation else { return };
         let view = self.cx.fleet.view();
         let candidates = self.candidates(&view);
-        let mut boards = self.cx.boards.lock();
+        let mut routing = self.cx.routing.lock();
         let demanded = self.demanded();
         let prefill = choose(
             candidates.iter().map(|(candidate, _)| *candidate),
             &demanded,
-            &boards.selection(self.arrived),
+            &routing.selection(self.arrived),
         )
         .map_or_else(
-            || boards.speeds.prefill_ms(&asked.model, asked.prompt_tokens),
+            || routing.speeds.prefill_ms(&asked.model, asked.prompt_tokens),
             |choice| f64::from(choice.prefill_ms),
         );
         let work = prefill + MS_PER_OUTPUT_TOKEN * f64::from(asked.output_tokens);
-        *boards.work_ms.entry(asked.model.clone()).or_default() += work;
+        *routing.work_ms.entry(asked.model.clone()).or_default() += work;
     }
 
     /// Picks a server; waits for an adapter or a model if it will come in time.
     pub(super) async fn pick(&mut self) -> Result<Picked, Refusal> {
         if !self.may_send() {
-            return Err(Refusal::retry(Cause::NotRun, COME_BACK.mul_f64(1.0 + self.cx.draw())));
+            return Err(Refusal::retry(
+                RefusalCause::NotRun,
+                COME_BACK.mul_f64(1.0 + self.cx.random_unit()),
+            ));
         }
         let mut waited_for_model = false;
         let mut without_place: Vec<Name> = Vec::new();
@@ -107,12 +110,14 @@
                     self.queued_since = self.cx.now();
                     waited_for_model = true;
                 }
-                Look::NoModel => return Err(self.later(Cause::NoModel)),
-                Look::NoServer if self.asks_adapter() => return Err(self.later(Cause::NoAdapter)),
-                Look::NoServer => return Err(self.later(Cause::NoServer)),
+                Look::NoModel => return Err(self.later(RefusalCause::NoModel)),
+                Look::NoServer if self.asks_adapter() => {
+                    return Err(self.later(RefusalCause::NoAdapter));
+                }
+                Look::NoServer => return Err(self.later(RefusalCause::NoServer)),
                 Look::Overload { expected, retry_after } => {
                     self.expected = expected;
-                    return Err(Refusal::retry(Cause::Overload, retry_after));
+                    return Err(Refusal::retry(RefusalCause::Overload, retry_after));
                 }
             }
         }
@@ -130,8 +135,8 @@
         self.asks_adapter() && self.avoided.is_empty() && elapsed < whole.mul_f64(PLACE_SHARE)
     }
 
-    fn later(&self, cause: Cause) -> Refusal {
-        Refusal::retry(cause, retry_after(COME_BACK, self.cx.draw()))
+    fn later(&self, cause: RefusalCause) -> Refusal {
+        Refusal::retry(cause, retry_after(COME_BACK, self.cx.random_unit()))
     }
 
     fn demanded(&self) -> Demanded<'_> {
@@ -152,7 +157,7 @@
     /// Returns whether another server would take the request now. Without one, leaving a server that is
     /// slow or silent only ends the request.
     pub(super) fn has_alternative(&self) -> bool {
-        let has_repeat = self.cx.boards.lock().budget.has_repeat(&self.service);
+        let has_repeat = self.cx.routing.lock().retry_budget.has_repeat(&self.service);
         has_repeat && matches!(self.look(&[]), Look::Picked(..))
     }
 
@@ -172,8 +177,8 @@
             };
         }
         let now = self.cx.now();
-        let boards = self.cx.boards.lock();
-        let selection = boards.selection(now);
+        let routing = self.cx.routing.lock();
+        let selection = routing.selection(now);
         let demanded = self.demanded();
         let options = candidates.iter().map(|(candidate, _)| *candidate);
         let Some(choice) = choose(options, &demanded, &selection) else { return Look::NoServer };
@@ -187,7 +192,7 @@
             target: self.route.target,
             left: self.left(),
         };
-        let priority = match judge(&prospect, self.cx.draw()) {
+        let priority = match judge(&prospect, self.cx.random_unit()) {
             Verdict::Serve { priority } => priority,
             Verdict::Refuse { retry_after } => {
                 return Look::Overload { expected: choice.expected, retry_after };
@@ -222,8 +227,8 @@
         let share = (limit / nodes).max(1);
         let adapter_places = self.engine_class().map_or(0, |class| class.adapter_places);
         let (copy, now) = (self.copy_name(), self.cx.now());
-        let boards = self.cx.boards.lock();
-        let (own, health) = (boards.loads.own(), &boards.health);
+        let routing = self.cx.routing.lock();
+        let (own, health) = (routing.loads.own(), &routing.health);
         let is_denied = |server: &BackendServer| {
             copy.as_ref()
                 .is_some_and(|copy| health.is_denied(&server.id, copy, server.incarnation, now))
@@ -278,18 +283,21 @@
     async fn await_model(&self) -> Result<(), Refusal> {
         let Some(asked) = &self.head.generation else { return Ok(()) };
         let Some(expected) = self.wish_for_model(&asked.model).await else {
-            return Err(self.later(Cause::NoModel));
+            return Err(self.later(RefusalCause::NoModel));
         };
         let is_on_time = self.cx.now() - self.arrived + expected < self.route.target;
         if !is_on_time && expected > self.left().mul_f64(LOAD_SHARE) {
-            return Err(Refusal::retry(Cause::NoModel, retry_after(expected, self.cx.draw())));
+            return Err(Refusal::retry(
+                RefusalCause::NoModel,
+                retry_after(expected, self.cx.random_unit()),
+            ));
         }
         let mut views = self.cx.fleet.subscribe();
         let held = views.wait_for(|view| self.ready(view).any(|server| server.holds(&asked.model)));
         let within = (expected + LOAD_GRACE).min(self.left());
         match tokio::time::timeout(within, held).await {
             Ok(Ok(_)) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(self.later(Cause::NoModel)),
+            Ok(Err(_)) | Err(_) => Err(self.later(RefusalCause::NoModel)),
         }
     }
 
--- a/savoryport/src/node/store_reader.rs
+++ b/savoryport/src/node/store_reader.rs
@@ -105,7 +105,7 @@
                 cx.metrics.store_failures.inc();
                 cx.store_health.record_failure(cx.now());
                 failures += 1;
-                tokio::time::sleep(retry_delay(failures, cx.draw())).await;
+                tokio::time::sleep(retry_delay(failures, cx.random_unit())).await;
             }
         }
         cx.fleet.update(|state| {
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -55,7 +55,7 @@
         if cx.now() - cleaned_at >= CLEANUP_PERIOD {
             cleaned_at = cx.now();
             let view = cx.fleet.view();
-            cx.boards.lock().retain(|server| view.servers.contains_key(server));
+            cx.routing.lock().retain_servers(|server| view.servers.contains_key(server));
         }
         read_store
             .send_if_modified(|reads| std::mem::replace(reads, must_read_store) != must_read_store);
@@ -117,17 +117,17 @@
 }
 
 fn follower_request(cx: &NodeContext, following: &Following) -> SyncRequest {
-    let mut boards = cx.boards.lock();
+    let mut routing = cx.routing.lock();
     SyncRequest {
         member: cx.member.clone(),
         role: Role::Follower,
         is_leaving: cx.stopping.is_cancelled(),
         have: Position { config: cx.fleet.view().version(), ..following.have },
-        loads: boards.loads.own().iter().map(|(server, load)| (server.clone(), *load)).collect(),
-        work_ms: boards.work_ms.drain().collect(),
+        loads: routing.loads.own().iter().map(|(server, load)| (server.clone(), *load)).collect(),
+        work_ms: routing.work_ms.drain().collect(),
         demand: Vec::new(),
-        copies: boards.copies_in_use(),
-        prompts: std::mem::take(&mut boards.prompts),
+        copies: routing.copies_in_use(),
+        prompts: std::mem::take(&mut routing.new_prompts),
     }
 }
 
@@ -140,7 +140,7 @@
     let now = cx.now();
     // A node without contact to the store, or one that has just started, may know less than this one.
     let applies_servers = applies_servers && reply.is_holder;
-    cx.boards.lock().loads.set_others(reply.loads.iter().cloned().collect());
+    cx.routing.lock().loads.set_others(reply.loads.iter().cloned().collect());
     record_prompts(cx, &reply.prompts, now);
     cx.fleet.update(|state| {
         if applies_servers {
@@ -162,7 +162,7 @@
         following.have.tenure = 0;
     }
     let nodes = cx.fleet.view().members.len();
-    cx.boards.lock().budget.set_nodes(nodes);
+    cx.routing.lock().retry_budget.set_nodes(nodes);
     !reply.is_holder
 }
 
@@ -171,16 +171,16 @@
 fn share_own_state(cx: &NodeContext) {
     let now = cx.now();
     let (work_ms, prompts) = {
-        let mut boards = cx.boards.lock();
-        let work_ms: Vec<(Name, f64)> = boards.work_ms.drain().collect();
-        (work_ms, std::mem::take(&mut boards.prompts))
+        let mut routing = cx.routing.lock();
+        let work_ms: Vec<(Name, f64)> = routing.work_ms.drain().collect();
+        (work_ms, std::mem::take(&mut routing.new_prompts))
     };
     cx.peer_reports.add_own(&cx.settings.vm, &work_ms, &prompts, now);
     let others = cx.peer_reports.other_loads(None, true, now);
     let nodes = cx.fleet.view().members.len();
-    let mut boards = cx.boards.lock();
-    boards.loads.set_others(others);
-    boards.budget.set_nodes(nodes);
+    let mut routing = cx.routing.lock();
+    routing.loads.set_others(others);
+    routing.retry_budget.set_nodes(nodes);
 }
 
 /// Exchanges loads and changes with the leaders of other failure domains while this node is a leader.
@@ -249,7 +249,7 @@
 ) -> Option<Position> {
     let now = cx.now();
     let mut loads: HashMap<Name, ServerLoad> = cx.peer_reports.other_loads(None, false, now);
-    add_loads(&mut loads, cx.boards.lock().loads.own());
+    add_loads(&mut loads, cx.routing.lock().loads.own());
     let req = SyncRequest {
         member: cx.member.clone(),
         role: Role::Holder,
--- a/savoryport/tests/node_parts.rs
+++ b/savoryport/tests/node_parts.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 use assert_matches::assert_matches;
-use savoryport::node::events::EventCutter;
+use savoryport::node::event_splitter::EventSplitter;
 use savoryport::node::fleet::Fleet;
-use savoryport::node::prompts::PromptLog;
+use savoryport::node::prompt_log::PromptLog;
 use savoryport::node::rpc::PromptRecord;
 use savoryport::node::settings::{NodeSettings, NodeSettingsError};
 use savoryport::node::store_reader::StoreHealth;
@@ -19,7 +19,7 @@
 fn events_are_cut_at_blank_lines_however_their_bytes_arrive() {
     let stream = "id: 1\ndata: a\n\nversion: 2\nid: 2\r\ndata: b\r\n\r\ndata: no id\n\nid: 4\nda";
     for size in 1..stream.len() {
-        let mut cutter = EventCutter::default();
+        let mut cutter = EventSplitter::default();
         let mut seen = Vec::new();
         for piece in stream.as_bytes().chunks(size) {
             assert!(cutter.push(piece));
@@ -29,16 +29,16 @@
         }
         let ids: Vec<_> = seen.iter().map(|event| event.id).collect();
         assert_eq!(ids, [Some(1), Some(2), None], "pieces of {size}");
-        assert!(cutter.has_rest());
+        assert!(cutter.has_partial_event());
         let mut bytes: Vec<u8> = seen.iter().flat_map(|event| event.bytes.to_vec()).collect();
-        bytes.extend(cutter.take_rest());
+        bytes.extend(cutter.take_partial_event());
         assert_eq!(bytes, stream.as_bytes());
     }
 }
 
 #[test]
 fn an_endless_event_is_not_kept() {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     let piece = vec![b'x'; 64 * 1024];
     assert!((0..32).any(|_| !cutter.push(&piece)));
 }
@@ -102,24 +102,24 @@
 #[test]
 fn other_failure_domains_hear_of_a_shared_beginning_once_and_of_nothing_else() {
     let (mut log, now) = (PromptLog::default(), Instant::now());
-    log.add(&"a".into(), &[prompt(1, 10), prompt(1, 11), prompt(2, 12)], now);
-    let (position, told) = log.shared_since(0);
+    log.add_local(&"a".into(), &[prompt(1, 10), prompt(1, 11), prompt(2, 12)], now);
+    let (position, told) = log.shared_prefixes_since(0);
     let keys: Vec<_> = told.iter().map(|record| record.keys.to_vec()).collect();
     assert_eq!(keys, [[(1, 6_300)], [(2, 6_300)]]);
-    log.add(&"a".into(), &[prompt(1, 13)], now);
-    assert_eq!(log.shared_since(position).1, []);
+    log.add_local(&"a".into(), &[prompt(1, 13)], now);
+    assert_eq!(log.shared_prefixes_since(position).1, []);
     // Told again after a while, or it would be forgotten elsewhere while it is in use here.
-    log.add(&"a".into(), &[prompt(1, 14)], now + Duration::from_secs(6));
-    assert_eq!(log.shared_since(position).1.len(), 1);
+    log.add_local(&"a".into(), &[prompt(1, 14)], now + Duration::from_secs(6));
+    assert_eq!(log.shared_prefixes_since(position).1.len(), 1);
 }
 
 #[test]
 fn followers_hear_of_whole_prompts_and_of_other_domains_beginnings() {
     let (mut log, now) = (PromptLog::default(), Instant::now());
-    log.add(&"a".into(), &[prompt(1, 10)], now);
-    log.add_foreign(&[prompt(3, 30)]);
-    assert_eq!(log.since(0, "a").1, [prompt(3, 30)]);
-    assert_eq!(log.since(0, "b").1, [prompt(1, 10), prompt(3, 30)]);
-    let told_on = log.shared_since(0).1;
+    log.add_local(&"a".into(), &[prompt(1, 10)], now);
+    log.add_remote(&[prompt(3, 30)]);
+    assert_eq!(log.records_since(0, "a").1, [prompt(3, 30)]);
+    assert_eq!(log.records_since(0, "b").1, [prompt(1, 10), prompt(3, 30)]);
+    let told_on = log.shared_prefixes_since(0).1;
     assert!(told_on.iter().all(|record| record.keys[0].0 == 1), "foreign news is not told on");
 }
