--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -291,7 +291,11 @@
     }
 
     /// Sends an order if this node is the active leader, and returns the server's answer.
-    async fn send_order(&mut self, order: &Order, busy_for: Duration) -> Result<OrderAnswer, OrderError> {
+    async fn send_order(
+        &mut self,
+        order: &Order,
+        busy_for: Duration,
+    ) -> Result<OrderAnswer, OrderError> {
         let (server, class) = self.target().ok_or(OrderError::Unknown)?;
         let token = self.controller.active_token(&self.cx).ok_or(OrderError::Unknown)?;
         let expected = {
