--- a/savoryport/src/node/callers.rs
+++ b/savoryport/src/node/callers.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections, with bounds on what a stranger can send.
+//! Accepts callers' connections, with limits on what an untrusted client can send.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,91 +20,94 @@
 use super::proxy;
 use super::response::Body;
 
-/// The time for a head before a configuration gives one, and for an idle connection.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// The time to receive a request's headers, and for which a connection may be idle, until a
+/// configuration sets it.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The longest head before a configuration gives one, in bytes.
-const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// The maximum size of a request's headers in bytes, until a configuration sets it.
+const DEFAULT_MAX_HEADER_BYTES: usize = 64 * 1024;
 
-/// The shortest buffer that the library accepts, in bytes.
-const MIN_HEAD_BYTES: usize = 8 * 1024;
+/// The smallest read buffer that hyper accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// The pause after a connection could not be taken.
+/// The pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The part of the descriptors that callers may use; the rest is for servers, nodes and the store.
-const CALLERS_SHARE: f64 = 0.5;
+/// The share of the file descriptors that callers' connections may use; the rest is for connections to
+/// servers, nodes and the store.
+const CALLER_DESCRIPTOR_SHARE: f64 = 0.5;
 
-/// Listens at an address.
+/// Binds a listener to an address.
 ///
 /// # Errors
 ///
-/// Returns an error where the address cannot be listened on.
+/// Returns an error if the address cannot be bound.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener, NodeError> {
     TcpListener::bind(address).await.map_err(|err| NodeError::Listen { address, err })
 }
 
-/// Takes callers' connections until the node closes.
+/// Accepts callers' connections until they are to be closed. A connection beyond the limit is dropped.
 pub async fn accept(cx: Arc<NodeContext>, listener: TcpListener) {
-    let open = Arc::new(AtomicUsize::new(0));
-    let most = (cx.settings.file_descriptors as f64 * CALLERS_SHARE) as usize;
+    let open_connections = Arc::new(AtomicUsize::new(0));
+    let max_connections = (cx.settings.file_descriptors as f64 * CALLER_DESCRIPTOR_SHARE) as usize;
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             () = cx.connection_shutdown.cancelled() => return,
         };
         let stream = match accepted {
-            Ok((stream, _)) if open.load(Ordering::Relaxed) < most => stream,
+            Ok((stream, _)) if open_connections.load(Ordering::Relaxed) < max_connections => stream,
             Ok(_) => continue,
             Err(err) => {
-                log::warn!(err:% = err; "no connection taken");
+                log::warn!(err:% = err; "cannot accept a connection");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        open.fetch_add(1, Ordering::Relaxed);
-        let (cx, open) = (cx.clone(), open.clone());
-        let serving = cx.caller_tasks.clone();
-        serving.spawn(async move {
-            serve(&cx, stream).await;
-            open.fetch_sub(1, Ordering::Relaxed);
+        open_connections.fetch_add(1, Ordering::Relaxed);
+        let (cx, open_connections) = (cx.clone(), open_connections.clone());
+        let caller_tasks = cx.caller_tasks.clone();
+        caller_tasks.spawn(async move {
+            serve_connection(&cx, stream).await;
+            open_connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-async fn serve(cx: &Arc<NodeContext>, stream: TcpStream) {
+async fn serve_connection(cx: &Arc<NodeContext>, stream: TcpStream) {
     if let Err(err) = stream.set_nodelay(true) {
-        log::debug!(err:% = err; "no delay option");
+        log::debug!(err:% = err; "cannot set TCP_NODELAY");
     }
     let limits = cx.fleet.view().deployment().map(|deployment| deployment.limits);
-    let idle = limits.map_or(IDLE_TIMEOUT, |limits| limits.idle_timeout);
-    let head = limits.map_or(MAX_HEAD_BYTES, |limits| limits.header_bytes.max(MIN_HEAD_BYTES));
-    let service = service_fn(|req| answer(cx.clone(), req));
+    let idle_timeout = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
+    let max_header_bytes =
+        limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.header_bytes.max(MIN_BUFFER_BYTES));
+    let service = service_fn(|req| respond(cx.clone(), req));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
-        .max_buf_size(head + MIN_HEAD_BYTES)
+        .header_read_timeout(idle_timeout)
+        .max_buf_size(max_header_bytes + MIN_BUFFER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
         () = cx.connection_shutdown.cancelled() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(err) = ended {
-        log::debug!(err:% = err; "caller's connection ended");
+    if let Err(err) = result {
+        log::debug!(err:% = err; "caller's connection failed");
     }
 }
 
-async fn answer(
+async fn respond(
     cx: Arc<NodeContext>,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
-    let mut answer = proxy::serve(cx.clone(), req).await;
+    let mut response = proxy::serve(cx.clone(), req).await;
     if cx.stopping.is_cancelled() {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(answer)
+    Ok(response)
 }
--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a node share.
+//! The state that the tasks of a node share.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -22,55 +22,56 @@
 use super::settings::NodeSettings;
 use super::view::Member;
 
-/// Shared by all tasks of a node.
+/// The state shared by all tasks of a node.
 pub struct NodeContext {
-    /// The settings.
+    /// The node's settings.
     pub settings: NodeSettings,
-    /// The steady clock.
+    /// The monotonic clock for everything but leases.
     pub clock: Arc<dyn Clock>,
-    /// A clock that goes on while the VM stands still, for leases.
+    /// A monotonic clock that advances while the VM is suspended, for leases.
     pub lease_clock: Arc<dyn Clock>,
-    /// The platform's store.
+    /// The client of the platform's metadata store.
     pub store: Store,
-    /// Connections to backend servers, for requests.
+    /// Connections to backend servers for callers' requests.
     pub request_pool: Pool,
-    /// Connections to model engines, for orders and reports.
+    /// Connections to model engines for load and unload orders and for reports.
     pub order_pool: Pool,
-    /// Beliefs about the fleet.
+    /// What this node knows of the configuration, servers, members and duty holders.
     pub fleet: Fleet,
-    /// What is counted while requests run.
+    /// Measurements of the servers, by which requests are routed.
     pub routing: SharedRoutingState,
-    /// What other nodes told this one.
+    /// What other nodes reported to this one.
     pub hub: Hub,
-    /// When the store was last heard.
+    /// When the store last answered.
     pub store_contact: StoreContact,
-    /// This node as others know it.
+    /// This node's entry in the member list.
     pub member: Member,
     /// A number that differs between starts of the process.
     pub tenure: u64,
     /// Connections to other nodes.
     pub peers: Peers,
-    /// Duties that this node holds.
+    /// The failure domains whose duty this node holds.
     pub desks: Desks,
-    /// Counters and histograms.
+    /// The node's counters and histograms.
     pub metrics: NodeMetrics,
     /// Cancelled when the node is asked to stop.
     pub stopping: CancellationToken,
-    /// Cancelled when connections of callers are to close after their present request.
+    /// Cancelled when callers' connections are to be closed after the request in progress.
     pub connection_shutdown: CancellationToken,
-    /// Tasks that serve callers.
+    /// The tasks that serve callers' connections and streams.
     pub caller_tasks: TaskTracker,
-    /// Random numbers, seeded from the VM's name and the time of the start.
+    /// The random number generator, seeded from the VM's name and the start time.
     pub rng: Mutex<SmallRng>,
 }
 
 impl NodeContext {
-    /// Returns the present instant.
+    /// Returns the current time of [`Self::clock`].
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// Returns the copies at servers of a failure domain that this domain's requests use.
+    /// Returns the copies on a failure domain's servers that are used by requests of this node and its
+    /// followers.
     pub fn copies_in_domain(&self, domain: &str) -> Vec<CopyUse> {
         let view = self.fleet.view();
         let mut uses = self.routing.lock().copies_in_use();
@@ -82,13 +83,13 @@
         uses
     }
 
-    /// Returns a uniform number in 0..1.
+    /// Returns a uniformly distributed number in 0..1.
     pub fn random_unit(&self) -> f64 {
-        self.rng.lock().expect("no holder panics").random()
+        self.rng.lock().expect("no thread panics while holding the lock").random()
     }
 
-    /// Returns a uniform number below 2^64.
+    /// Returns a uniformly distributed number below 2^64.
     pub fn random_u64(&self) -> u64 {
-        self.rng.lock().expect("no holder panics").next_u64()
+        self.rng.lock().expect("no thread panics while holding the lock").next_u64()
     }
 }
--- a/savoryport/src/node/in_flight.rs
+++ b/savoryport/src/node/in_flight.rs
@@ -38,7 +38,7 @@
         let mut routing = cx.routing.lock();
         routing.loads.begin(&server.id, relay.route.rank, picked.prefill_ms);
         if let Some(key) = &copy {
-            *routing.copies.entry(key.clone()).or_default() += 1;
+            *routing.requests_by_copy.entry(key.clone()).or_default() += 1;
         }
         if let Some(cache_tokens) = cache_tokens.filter(|_| !relay.keys.is_empty()) {
             let record = PromptRecord {
@@ -95,11 +95,11 @@
         }
         routing.loads.end(&self.server);
         if let Some(key) = &self.copy
-            && let Some(requests) = routing.copies.get_mut(key)
+            && let Some(requests) = routing.requests_by_copy.get_mut(key)
         {
             *requests -= 1;
             if *requests == 0 {
-                routing.copies.remove(key);
+                routing.requests_by_copy.remove(key);
             }
         }
     }
--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -19,7 +19,7 @@
 
 use super::context::NodeContext;
 use super::in_flight::InFlightRequest;
-use super::response::{Body, Refusal, RefusalCause, pass_on};
+use super::response::{Body, Refusal, RefusalCause, forward_response};
 use super::server_selection::Picked;
 use super::stream;
 
@@ -113,7 +113,7 @@
         Ok(relay) => relay.run().await,
         Err(refusal) => {
             cx.metrics.note_refusal(refusal.cause);
-            refusal.answer()
+            refusal.into_response()
         }
     }
 }
@@ -175,16 +175,16 @@
             cause => cause,
         };
         if promises_not_run(cause.status()) {
-            Refusal::retry(cause, COME_BACK.mul_f64(1.0 + self.cx.random_unit()))
+            Refusal::with_retry_after(cause, COME_BACK.mul_f64(1.0 + self.cx.random_unit()))
         } else {
-            Refusal::of(cause)
+            Refusal::new(cause)
         }
     }
 
     fn finish_without(mut self, refusal: Refusal) -> Response<Body> {
         if let Some((status, headers, body)) = self.failure.take() {
             self.log_end("failed", status.as_u16(), None);
-            return pass_on(status, headers, body);
+            return forward_response(status, headers, body);
         }
         let refusal = match refusal.cause {
             cause if self.in_doubt => self.refusal(cause),
@@ -192,7 +192,7 @@
         };
         self.cx.metrics.note_refusal(refusal.cause);
         self.log_end(refusal.cause.name(), refusal.cause.status().as_u16(), refusal.retry_after);
-        refusal.answer()
+        refusal.into_response()
     }
 
     /// Writes the line that ends a request.
--- a/savoryport/src/node/receive.rs
+++ b/savoryport/src/node/receive.rs
@@ -24,17 +24,19 @@
     ) -> Result<Self, Refusal> {
         let view = cx.fleet.view();
         let wait = Duration::from_millis(cx.settings.store_poll_ms);
-        let deployment =
-            view.deployment().cloned().ok_or(Refusal::retry(RefusalCause::NoConfig, wait))?;
+        let deployment = view
+            .deployment()
+            .cloned()
+            .ok_or(Refusal::with_retry_after(RefusalCause::NoConfig, wait))?;
         let (parts, body) = req.into_parts();
         let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
         let route = find_route(&deployment, host, parts.uri.path())?.clone();
         let head = request_head(&parts.headers).map_err(|err| {
             log::debug!(err:% = err; "head refused");
-            Refusal::of(RefusalCause::BadHead)
+            Refusal::new(RefusalCause::BadHead)
         })?;
         let service = route.choose_service(cx.random_u64()).cloned();
-        let service = service.ok_or(Refusal::of(RefusalCause::NoRoute))?;
+        let service = service.ok_or(Refusal::new(RefusalCause::NoRoute))?;
         let deadline = head.deadline.unwrap_or(route.timeout);
         let ends = arrived + deadline.min(route.timeout);
         let body = read_body(body, &deployment, ends.saturating_duration_since(cx.now())).await?;
@@ -79,7 +81,7 @@
     deployment
         .route(host, path)
         .or_else(|| deployment.route(bare, path))
-        .ok_or(Refusal::of(RefusalCause::NoRoute))
+        .ok_or(Refusal::new(RefusalCause::NoRoute))
 }
 
 async fn read_body(
@@ -90,7 +92,9 @@
     let limited = Limited::new(body, deployment.limits.body_bytes);
     match tokio::time::timeout(within, limited.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
-        Ok(Err(err)) if err.is::<LengthLimitError>() => Err(Refusal::of(RefusalCause::BodyTooLong)),
-        Ok(Err(_)) | Err(_) => Err(Refusal::of(RefusalCause::BodyMissing)),
+        Ok(Err(err)) if err.is::<LengthLimitError>() => {
+            Err(Refusal::new(RefusalCause::BodyTooLong))
+        }
+        Ok(Err(_)) | Err(_) => Err(Refusal::new(RefusalCause::BodyMissing)),
     }
 }
--- a/savoryport/src/node/response.rs
+++ b/savoryport/src/node/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -11,45 +11,46 @@
 use savoryport_adapter::callers::set_retry_after;
 use thiserror::Error;
 
-/// The stream of an answer ends without being whole; the connection ends with it.
+/// Ends a response body that is incomplete: the connection to the caller is closed without the end of
+/// the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the answer broke off")]
-pub struct BrokenOff;
+#[error("the response is incomplete")]
+pub struct IncompleteResponse;
 
-/// The body of an answer.
-pub type Body = BoxBody<Bytes, BrokenOff>;
+/// The body of a response to a caller.
+pub type Body = BoxBody<Bytes, IncompleteResponse>;
 
-/// Why a request gets no answer of a server.
+/// Why a request gets no response from a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalCause {
     /// No configuration is known yet.
     NoConfig,
-    /// No route fits.
+    /// No route matches the host and path.
     NoRoute,
-    /// The head is malformed.
+    /// The request headers are malformed.
     BadHead,
-    /// The body is longer than allowed.
+    /// The request body exceeds the size limit.
     BodyTooLong,
-    /// The body did not come.
+    /// The request body was not received, or not in time.
     BodyMissing,
-    /// No server of the service takes work.
+    /// No server of the service can take the request now.
     NoServer,
-    /// No server holds the model, and none will in time.
+    /// No server has the model loaded, and none will have it in time.
     NoModel,
-    /// No server has a place for the adapter.
+    /// No server has room for the adapter.
     NoAdapter,
-    /// The first token would come too late.
+    /// The first token is expected too late to be of use.
     Overload,
-    /// The servers that were asked did not run the request.
+    /// No server ran the request.
     NotRun,
-    /// A server broke off, and the request may have run.
+    /// A server failed before its response was complete, so the request may have run.
     Broken,
-    /// The route's or the caller's time is up.
+    /// The route's timeout or the caller's deadline has passed.
     TimedOut,
 }
 
 impl RefusalCause {
-    /// Returns the word used in logs and metrics.
+    /// Returns the name used in logs, metrics and response bodies.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoConfig => "no-config",
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Returns the status for the caller. Those that promise that the request has not run are used
-    /// only where nothing was handed to a server, or the server itself refused it.
+    /// Returns the status for the caller. A status that promises that the request did not run is used
+    /// only if the request was sent to no server, or the server itself refused it.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoConfig
@@ -87,50 +88,50 @@
     }
 }
 
-/// A request that ends without an answer of a server.
+/// A response that the node makes itself, because the request gets none from a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why there is no response from a server.
     pub cause: RefusalCause,
-    /// When the caller may come back.
+    /// How long the caller should wait before it retries.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Makes a refusal without a time to come back.
-    pub fn of(cause: RefusalCause) -> Self {
+    /// Creates a refusal without a `Retry-After` time.
+    pub fn new(cause: RefusalCause) -> Self {
         Self { cause, retry_after: None }
     }
 
-    /// Makes a refusal with a time to come back.
-    pub fn retry(cause: RefusalCause, after: Duration) -> Self {
+    /// Creates a refusal that asks the caller to retry after this time.
+    pub fn with_retry_after(cause: RefusalCause, after: Duration) -> Self {
         Self { cause, retry_after: Some(after) }
     }
 
-    /// Writes the answer.
-    pub fn answer(self) -> Response<Body> {
+    /// Builds the response to the caller.
+    pub fn into_response(self) -> Response<Body> {
         let text = format!("{{\"error\":\"{}\"}}", self.cause.name());
-        let mut answer = Response::new(whole(text.into()));
-        *answer.status_mut() = self.cause.status();
-        let headers = answer.headers_mut();
+        let mut response = Response::new(full_body(text.into()));
+        *response.status_mut() = self.cause.status();
+        let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         if let Some(wait) = self.retry_after {
             set_retry_after(headers, wait);
         }
-        answer
+        response
     }
 }
 
-/// Makes a body that is known as a whole.
-pub fn whole(bytes: Bytes) -> Body {
+/// Creates a body from bytes that are in memory.
+pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never: Infallible| match never {}).boxed()
 }
 
-/// Passes a server's whole answer on.
-pub fn pass_on(status: StatusCode, mut headers: HeaderMap, body: Bytes) -> Response<Body> {
+/// Builds a response to the caller from a server's complete response.
+pub fn forward_response(status: StatusCode, mut headers: HeaderMap, body: Bytes) -> Response<Body> {
     headers.insert(CONTENT_LENGTH, HeaderValue::from(body.len()));
-    let mut answer = Response::new(whole(body));
-    *answer.status_mut() = status;
-    *answer.headers_mut() = headers;
-    answer
+    let mut response = Response::new(full_body(body));
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
+    response
 }
--- a/savoryport/src/node/routing_state.rs
+++ b/savoryport/src/node/routing_state.rs
@@ -1,4 +1,5 @@
-//! What a node counts while requests run: loads, caches, health, speeds and the retry budget.
+//! The node's measurements of the servers, by which requests are routed: loads, cached prefixes,
+//! health, speeds and the retry budget.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
@@ -13,98 +14,100 @@
 
 use super::rpc::{CopyUse, PromptRecord};
 
-/// Prompt records that wait for the next sync at most; older ones are of little use by then.
-const MAX_PROMPTS: usize = 512;
+/// The most prompt records that are kept for the next sync; further ones are dropped. Records that wait
+/// longer are of little use by then.
+const MAX_NEW_PROMPTS: usize = 512;
 
-/// A copy at a server: the model, and the adapter that requests name.
+/// Identifies a copy of a model: the server, the model, and the adapter if requests name one.
 pub type CopyKey = (Name, Name, Option<Name>);
 
-/// The boards of a node.
+/// What a node knows of the servers from its own requests and from other nodes.
 #[derive(Debug)]
 pub struct RoutingState {
-    /// What runs where.
+    /// Requests and prefill work in progress by server.
     pub loads: LoadBoard,
-    /// Which prefixes are cached where.
+    /// The prompt prefixes that each server has probably cached.
     pub prefixes: PrefixMap,
-    /// How far servers are trusted.
+    /// Failure rates and pauses by server.
     pub health: HealthBoard,
-    /// How fast models and servers are.
+    /// Running averages of how fast models and servers work.
     pub speeds: Speeds,
-    /// Repeats that are left.
+    /// The retries that may still be sent.
     pub retry_budget: RetryBudget,
-    /// Requests under way by copy.
-    pub copies: HashMap<CopyKey, u32>,
-    /// Work by model since the last sync, in milliseconds.
+    /// The number of this node's requests in progress by copy.
+    pub requests_by_copy: HashMap<CopyKey, u32>,
+    /// Server time that requests asked for since the last sync, by model, in milliseconds.
     pub work_ms: HashMap<Name, f64>,
-    /// Prompts sent since the last sync.
+    /// Prompts that were sent to servers since the last sync.
     pub new_prompts: Vec<PromptRecord>,
-    costs: SelectionCosts,
+    selection_costs: SelectionCosts,
 }
 
-/// RoutingState shared by the tasks of a node.
+/// The routing state shared by the tasks of a node.
 #[derive(Debug)]
 pub struct SharedRoutingState(Mutex<RoutingState>);
 
 impl SharedRoutingState {
-    /// Starts with empty boards.
-    pub fn new(bound: RetryBound, nodes: usize, costs: SelectionCosts) -> Self {
+    /// Creates an empty state; `nodes` nodes share the retry bound.
+    pub fn new(bound: RetryBound, nodes: usize, selection_costs: SelectionCosts) -> Self {
         Self(Mutex::new(RoutingState {
             loads: LoadBoard::default(),
             prefixes: PrefixMap::default(),
             health: HealthBoard::default(),
             speeds: Speeds::default(),
             retry_budget: RetryBudget::new(bound, nodes),
-            copies: HashMap::new(),
+            requests_by_copy: HashMap::new(),
             work_ms: HashMap::new(),
             new_prompts: Vec::new(),
-            costs,
+            selection_costs,
         }))
     }
 
-    /// Locks the boards for a moment.
+    /// Locks the state. The guard must be held only briefly, since every request takes it.
     pub fn lock(&self) -> MutexGuard<'_, RoutingState> {
-        self.0.lock().expect("no holder panics")
+        self.0.lock().expect("no thread panics while holding the lock")
     }
 }
 
 impl RoutingState {
-    /// Returns what a choice needs.
-    pub fn selection(&self, now: Instant) -> SelectionContext<'_> {
+    /// Returns what the selection of a server needs.
+    pub fn selection_context(&self, now: Instant) -> SelectionContext<'_> {
         SelectionContext {
             loads: &self.loads,
             prefixes: &self.prefixes,
             health: &self.health,
             speeds: &self.speeds,
-            costs: self.costs,
+            costs: self.selection_costs,
             now,
         }
     }
 
-    /// Notes a prompt that was sent to a server.
+    /// Records a prompt that was sent to a server with a cache of `cache_tokens` tokens.
     pub fn record_prompt(&mut self, record: PromptRecord, cache_tokens: u64, now: Instant) {
         let PromptRecord { server, incarnation, keys } = &record;
         self.prefixes.record(server, *incarnation, keys, cache_tokens, now);
-        if self.new_prompts.len() < MAX_PROMPTS {
+        if self.new_prompts.len() < MAX_NEW_PROMPTS {
             self.new_prompts.push(record);
         }
     }
 
-    /// Returns the copies in use.
+    /// Returns the copies that this node's requests use.
     pub fn copies_in_use(&self) -> Vec<CopyUse> {
-        let uses = self.copies.iter().map(|((server, model, adapter), requests)| CopyUse {
-            server: server.clone(),
-            model: model.clone(),
-            adapter: adapter.clone(),
-            requests: *requests,
-        });
+        let uses =
+            self.requests_by_copy.iter().map(|((server, model, adapter), requests)| CopyUse {
+                server: server.clone(),
+                model: model.clone(),
+                adapter: adapter.clone(),
+                requests: *requests,
+            });
         uses.collect()
     }
 
-    /// Forgets the servers that `keep` rejects.
+    /// Removes the servers that `keep` rejects; a copy stays while requests use it.
     pub fn retain_servers(&mut self, keep: impl Fn(&str) -> bool) {
         self.prefixes.retain(&keep);
         self.health.retain(&keep);
         self.speeds.retain(&keep);
-        self.copies.retain(|(server, ..), requests| *requests > 0 || keep(server));
+        self.requests_by_copy.retain(|(server, ..), requests| *requests > 0 || keep(server));
     }
 }
--- a/savoryport/src/node/server_response.rs
+++ b/savoryport/src/node/server_response.rs
@@ -11,7 +11,7 @@
 use savoryport_core::node::health::ServerOutcome;
 
 use super::proxy::{Attempt, Opened, ProxyRequest};
-use super::response::pass_on;
+use super::response::forward_response;
 use super::server_selection::Picked;
 
 /// The rest of an answer that did not run is read for this long, to keep the connection.
@@ -33,7 +33,7 @@
                 self.cx.request_pool.keep(connection, keep_alive(&headers));
                 strip_connection_headers(&mut headers);
                 self.log_end("answered", status.as_u16(), None);
-                Attempt::Answer(pass_on(status, headers, body))
+                Attempt::Answer(forward_response(status, headers, body))
             }
             None => {
                 self.in_doubt = true;
@@ -100,7 +100,7 @@
             return Attempt::Next;
         }
         self.log_end("failed", status.as_u16(), None);
-        Attempt::Answer(pass_on(status, headers, body))
+        Attempt::Answer(forward_response(status, headers, body))
     }
 }
 
--- a/savoryport/src/node/server_selection.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -72,7 +72,7 @@
         let prefill = choose(
             candidates.iter().map(|(candidate, _)| *candidate),
             &demanded,
-            &routing.selection(self.arrived),
+            &routing.selection_context(self.arrived),
         )
         .map_or_else(
             || routing.speeds.prefill_ms(&asked.model, asked.prompt_tokens),
@@ -85,7 +85,7 @@
     /// Picks a server; waits for an adapter or a model if it will come in time.
     pub(super) async fn pick(&mut self) -> Result<Picked, Refusal> {
         if !self.may_send() {
-            return Err(Refusal::retry(
+            return Err(Refusal::with_retry_after(
                 RefusalCause::NotRun,
                 COME_BACK.mul_f64(1.0 + self.cx.random_unit()),
             ));
@@ -117,7 +117,7 @@
                 Look::NoServer => return Err(self.later(RefusalCause::NoServer)),
                 Look::Overload { expected, retry_after } => {
                     self.expected = expected;
-                    return Err(Refusal::retry(RefusalCause::Overload, retry_after));
+                    return Err(Refusal::with_retry_after(RefusalCause::Overload, retry_after));
                 }
             }
         }
@@ -136,7 +136,7 @@
     }
 
     fn later(&self, cause: RefusalCause) -> Refusal {
-        Refusal::retry(cause, retry_after(COME_BACK, self.cx.random_unit()))
+        Refusal::with_retry_after(cause, retry_after(COME_BACK, self.cx.random_unit()))
     }
 
     fn demanded(&self) -> Demanded<'_> {
@@ -178,7 +178,7 @@
         }
         let now = self.cx.now();
         let routing = self.cx.routing.lock();
-        let selection = routing.selection(now);
+        let selection = routing.selection_context(now);
         let demanded = self.demanded();
         let options = candidates.iter().map(|(candidate, _)| *candidate);
         let Some(choice) = choose(options, &demanded, &selection) else { return Look::NoServer };
@@ -283,7 +283,7 @@
         };
         let is_on_time = self.cx.now() - self.arrived + expected < self.route.target;
         if !is_on_time && expected > self.left().mul_f64(LOAD_SHARE) {
-            return Err(Refusal::retry(
+            return Err(Refusal::with_retry_after(
                 RefusalCause::NoModel,
                 retry_after(expected, self.cx.random_unit()),
             ));
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -14,7 +14,7 @@
 
 use super::event_splitter::EventSplitter;
 use super::proxy::{Opened, ProxyRequest};
-use super::response::{Body, BrokenOff};
+use super::response::{Body, IncompleteResponse};
 use super::server_selection::Picked;
 
 /// Pieces that wait for a caller who reads slowly.
@@ -40,7 +40,7 @@
 /// One stream on its way to the caller.
 struct Forwarder {
     relay: ProxyRequest,
-    pieces: mpsc::Sender<Result<Frame<Bytes>, BrokenOff>>,
+    pieces: mpsc::Sender<Result<Frame<Bytes>, IncompleteResponse>>,
     cutter: EventSplitter,
     is_resumable: bool,
     /// The last event that was passed on.
@@ -69,8 +69,8 @@
 }
 
 fn receive(
-    rx: mpsc::Receiver<Result<Frame<Bytes>, BrokenOff>>,
-) -> impl futures::Stream<Item = Result<Frame<Bytes>, BrokenOff>> {
+    rx: mpsc::Receiver<Result<Frame<Bytes>, IncompleteResponse>>,
+) -> impl futures::Stream<Item = Result<Frame<Bytes>, IncompleteResponse>> {
     futures::stream::unfold(rx, async |mut rx| rx.recv().await.map(|piece| (piece, rx)))
 }
 
@@ -102,7 +102,7 @@
     }
 
     async fn give_up(&mut self, outcome: &str, status: u16) {
-        let _ = self.pieces.send(Err(BrokenOff)).await;
+        let _ = self.pieces.send(Err(IncompleteResponse)).await;
         self.relay.log_end(outcome, status, None);
     }
 
