--- a/savoryport/src/node/event_splitter.rs
+++ b/savoryport/src/node/event_splitter.rs
@@ -1,66 +1,67 @@
-//! Cuts a stream of bytes into whole events, so that a broken stream can go on at another server.
+//! Splits a byte stream into complete server-sent events, so that a broken stream can be resumed at
+//! another server.
 //!
-//! The bytes of an event are passed on as they are; only its boundary and id are looked for, which is
-//! why no parser of event streams stands here.
+//! The bytes of an event are forwarded unchanged. Only its boundary and its id are needed, so no parser
+//! of server-sent events is used.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event that is held back until it is whole, in bytes.
+/// The maximum size of an event that is buffered until it is complete, in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Cuts bytes into events.
+/// Splits bytes into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    pending: BytesMut,
-    /// How far [`Self::pending`] was searched.
+    buffer: BytesMut,
+    /// The number of bytes of [`Self::buffer`] that were already searched for the end of an event.
     searched: usize,
 }
 
-/// A whole event.
+/// A complete server-sent event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Its id, if it has one.
+    /// The event's id, if it has a numeric one.
     pub id: Option<u64>,
-    /// Its bytes, with the blank line that ends it.
+    /// The event's bytes, including the blank line that ends it.
     pub bytes: Bytes,
 }
 
 impl EventSplitter {
-    /// Takes bytes; returns `false` once an event is longer than any should be.
+    /// Appends bytes; returns `false` if the buffer exceeds the maximum size of an event.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
-        self.pending.extend_from_slice(bytes);
-        self.pending.len() <= MAX_EVENT_BYTES
+        self.buffer.extend_from_slice(bytes);
+        self.buffer.len() <= MAX_EVENT_BYTES
     }
 
-    /// Returns the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<SseEvent> {
         let end = self.find_end()?;
         self.searched = 0;
-        let bytes = self.pending.split_to(end).freeze();
+        let bytes = self.buffer.split_to(end).freeze();
         Some(SseEvent { id: event_id(&bytes), bytes })
     }
 
-    /// Returns whether bytes of an unfinished event are left.
+    /// Returns whether bytes of an incomplete event are buffered.
     pub fn has_partial_event(&self) -> bool {
-        !self.pending.is_empty()
+        !self.buffer.is_empty()
     }
 
-    /// Takes the bytes of an unfinished event.
+    /// Removes and returns the bytes of an incomplete event.
     pub fn take_partial_event(&mut self) -> Bytes {
         self.searched = 0;
-        self.pending.split().freeze()
+        self.buffer.split().freeze()
     }
 
-    /// Returns the position after the next blank line, with either kind of line end.
+    /// Returns the position after the next blank line; lines end with LF or CRLF.
     fn find_end(&mut self) -> Option<usize> {
-        let bytes = &self.pending;
+        let bytes = &self.buffer;
         let start = self.searched.saturating_sub(3);
-        for at in start..bytes.len() {
-            if bytes[at..].starts_with(b"\n\n") {
-                return Some(at + 2);
+        for position in start..bytes.len() {
+            if bytes[position..].starts_with(b"\n\n") {
+                return Some(position + 2);
             }
-            if bytes[at..].starts_with(b"\n\r\n") {
-                return Some(at + 3);
+            if bytes[position..].starts_with(b"\n\r\n") {
+                return Some(position + 3);
             }
         }
         self.searched = bytes.len();
--- a/savoryport/src/node/prompt_log.rs
+++ b/savoryport/src/node/prompt_log.rs
@@ -1,8 +1,9 @@
-//! Prompts that servers have read lately, in the order in which this duty holder heard of them.
+//! The prompts that servers have recently read, in the order in which this duty holder learned of them.
 //!
-//! Load pattern: many prompts with few beginnings. A node that does not know where a beginning is
-//! cached has it read again, so every node hears of every beginning; only what one request adds to it
-//! stays inside its failure domain, because links between regions are narrow.
+//! Load pattern: many prompts share few prefixes. A node that does not know where a prefix is cached
+//! sends it to a server that has to read it again, so every node is told of every shared prefix. The
+//! part that belongs to one request is only told within its failure domain, because the bandwidth
+//! between regions is low.
 
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
@@ -12,88 +13,90 @@
 
 use super::rpc::PromptRecord;
 
-/// Records that are kept; a node that is further behind misses some.
+/// The number of records that are kept; a node that is further behind misses some.
 const MAX_RECORDS: usize = 1_024;
 
-/// A beginning is told to other failure domains again after this time, so that it stays among those
-/// that were used lately.
-const RETELL_PERIOD: Duration = Duration::from_secs(5);
+/// A shared prefix is announced to other failure domains again after this time, so that it stays among
+/// the recently used ones there.
+const ANNOUNCE_PERIOD: Duration = Duration::from_secs(5);
 
-/// The log of a duty holder.
+/// The recent prompts known to a duty holder, numbered from 1.
 #[derive(Debug, Default)]
 pub struct PromptLog {
-    records: VecDeque<Entered>,
-    count: u64,
-    /// Shared beginnings by server, incarnation and key, with the time when they were last news.
-    told: HashMap<(Name, u64, u64), Instant>,
+    entries: VecDeque<LogEntry>,
+    /// The number of the last entry.
+    last_number: u64,
+    /// When each shared prefix was last announced, by server, incarnation and key.
+    announced: HashMap<(Name, u64, u64), Instant>,
 }
 
 #[derive(Debug)]
-struct Entered {
+struct LogEntry {
     number: u64,
-    /// The node that sent the prompt, if it is of this failure domain.
+    /// The node that sent the prompt, if it belongs to this failure domain.
     vm: Option<Name>,
     record: PromptRecord,
-    /// Whether other failure domains are told.
-    is_news: bool,
+    /// Whether the shared prefix is announced to other failure domains.
+    is_announced: bool,
 }
 
 impl PromptLog {
-    /// Enters prompts that a node of this failure domain sent.
+    /// Adds prompts that a node of this failure domain sent to servers.
     pub fn add_local(&mut self, vm: &Name, prompts: &[PromptRecord], now: Instant) {
         for record in prompts {
-            let is_news = self.is_news(record, now);
-            self.push(Some(vm.clone()), record.clone(), is_news);
+            let is_announced = self.should_announce(record, now);
+            self.push(Some(vm.clone()), record.clone(), is_announced);
         }
     }
 
-    /// Enters prompts that another failure domain told.
+    /// Adds prompts that another failure domain announced.
     pub fn add_remote(&mut self, prompts: &[PromptRecord]) {
         for record in prompts {
             self.push(None, record.clone(), false);
         }
     }
 
-    /// Returns the position after the last record, and the records after `position` that `vm` did not
+    /// Returns the number of the last record, and the records after number `position` that `vm` did not
     /// send itself.
     pub fn records_since(&self, position: u64, vm: &str) -> (u64, Vec<PromptRecord>) {
-        let news = self.after(position).filter(|entered| entered.vm.as_deref() != Some(vm));
-        (self.count, news.map(|entered| entered.record.clone()).collect())
+        let entries = self.entries_after(position).filter(|entry| entry.vm.as_deref() != Some(vm));
+        (self.last_number, entries.map(|entry| entry.record.clone()).collect())
     }
 
-    /// Returns the position after the last record, and the shared beginnings after `position` for
-    /// another failure domain.
+    /// Returns the number of the last record, and the shared prefixes to announce to another failure
+    /// domain that were added after number `position`.
     pub fn shared_prefixes_since(&self, position: u64) -> (u64, Vec<PromptRecord>) {
-        let news = self.after(position).filter(|entered| entered.is_news);
-        let shared = news.map(|Entered { record, .. }| PromptRecord {
+        let entries = self.entries_after(position).filter(|entry| entry.is_announced);
+        let shared = entries.map(|LogEntry { record, .. }| PromptRecord {
             keys: record.shared_keys().iter().copied().collect(),
             ..record.clone()
         });
-        (self.count, shared.collect())
+        (self.last_number, shared.collect())
     }
 
-    fn after(&self, position: u64) -> impl Iterator<Item = &Entered> {
-        self.records.iter().filter(move |entered| entered.number > position)
+    fn entries_after(&self, position: u64) -> impl Iterator<Item = &LogEntry> {
+        self.entries.iter().filter(move |entry| entry.number > position)
     }
 
-    fn push(&mut self, vm: Option<Name>, record: PromptRecord, is_news: bool) {
-        self.count += 1;
-        self.records.push_back(Entered { number: self.count, vm, record, is_news });
-        while self.records.len() > MAX_RECORDS {
-            self.records.pop_front();
+    fn push(&mut self, vm: Option<Name>, record: PromptRecord, is_announced: bool) {
+        self.last_number += 1;
+        self.entries.push_back(LogEntry { number: self.last_number, vm, record, is_announced });
+        while self.entries.len() > MAX_RECORDS {
+            self.entries.pop_front();
         }
     }
 
-    /// Returns whether other failure domains have not heard of the record's beginning lately.
-    fn is_news(&mut self, record: &PromptRecord, now: Instant) -> bool {
+    /// Returns whether the record's shared prefix is due to be announced to other failure domains, and
+    /// records the time if it is.
+    fn should_announce(&mut self, record: &PromptRecord, now: Instant) -> bool {
         let Some((key, _)) = record.shared_keys().last() else { return false };
-        let is_recent = |told: &Instant| now.saturating_duration_since(*told) < RETELL_PERIOD;
-        if self.told.len() > MAX_RECORDS {
-            self.told.retain(|_, told| is_recent(told));
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < ANNOUNCE_PERIOD;
+        if self.announced.len() > MAX_RECORDS {
+            self.announced.retain(|_, at| is_recent(at));
         }
-        let beginning = (record.server.clone(), record.incarnation, *key);
-        match self.told.entry(beginning) {
-            Entry::Occupied(told) if is_recent(told.get()) => false,
+        let prefix = (record.server.clone(), record.incarnation, *key);
+        match self.announced.entry(prefix) {
+            Entry::Occupied(announced) if is_recent(announced.get()) => false,
             entry => {
                 entry.insert_entry(now);
                 true
