--- a/savoryport/src/node/in_flight.rs
+++ b/savoryport/src/node/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request's place in the counts while it is at a server.
+//! Accounts for a request in the routing state while a server handles it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,80 +9,81 @@
 use super::proxy::ProxyRequest;
 use super::routing_state::CopyKey;
 use super::rpc::PromptRecord;
-use super::server_selection::Picked;
+use super::server_selection::SelectedServer;
 
-/// Counts a request at its server until it is dropped.
+/// A request that was sent to a server; it counts towards the server's load until this value is dropped.
 pub struct InFlightRequest {
     cx: Arc<NodeContext>,
     server: Name,
     rank: u8,
     prefill_ms: f32,
-    /// The time that was expected until the first token.
-    expected: Duration,
+    /// The expected time to the first token when the request was sent.
+    expected_latency: Duration,
     model: Option<Name>,
-    copy: Option<CopyKey>,
+    copy_key: Option<CopyKey>,
     sent_at: Instant,
     has_first_token: bool,
 }
 
 impl InFlightRequest {
-    /// Counts a request that leaves for the picked server.
-    pub(super) fn begin(relay: &ProxyRequest, picked: &Picked) -> Self {
-        let cx = relay.cx.clone();
+    /// Starts to account for a request that is about to be sent to the selected server.
+    pub(super) fn begin(request: &ProxyRequest, selected: &SelectedServer) -> Self {
+        let cx = request.cx.clone();
         let now = cx.now();
-        let server = &picked.server;
-        let asked = relay.head.generation.as_ref();
-        let copy =
-            asked.map(|asked| (server.id.clone(), asked.model.clone(), asked.adapter.clone()));
-        let cache_tokens = relay.engine_class().map(|class| class.cache_tokens);
+        let server = &selected.server;
+        let generation = request.head.generation.as_ref();
+        let copy_key = generation.map(|generation| {
+            (server.id.clone(), generation.model.clone(), generation.adapter.clone())
+        });
+        let cache_tokens = request.engine_class().map(|class| class.cache_tokens);
         let mut routing = cx.routing.lock();
-        routing.loads.begin(&server.id, relay.route.rank, picked.prefill_ms);
-        if let Some(key) = &copy {
+        routing.loads.begin(&server.id, request.route.rank, selected.prefill_ms);
+        if let Some(key) = &copy_key {
             *routing.requests_by_copy.entry(key.clone()).or_default() += 1;
         }
-        if let Some(cache_tokens) = cache_tokens.filter(|_| !relay.keys.is_empty()) {
+        if let Some(cache_tokens) = cache_tokens.filter(|_| !request.prefix_keys.is_empty()) {
             let record = PromptRecord {
                 server: server.id.clone(),
                 incarnation: server.incarnation,
-                keys: relay.keys.clone(),
+                keys: request.prefix_keys.clone(),
             };
             routing.record_prompt(record, cache_tokens, now);
         }
         drop(routing);
         Self {
             server: server.id.clone(),
-            rank: relay.route.rank,
-            prefill_ms: picked.prefill_ms,
-            expected: picked.expected,
-            model: asked.map(|asked| asked.model.clone()),
-            copy,
+            rank: request.route.rank,
+            prefill_ms: selected.prefill_ms,
+            expected_latency: selected.expected_latency,
+            model: generation.map(|generation| generation.model.clone()),
+            copy_key,
             sent_at: now,
             has_first_token: false,
             cx,
         }
     }
 
-    /// Returns the server's id.
+    /// Returns the id of the server.
     pub fn server(&self) -> &str {
         &self.server
     }
 
-    /// Returns when the request left.
+    /// Returns when the request was sent.
     pub fn sent_at(&self) -> Instant {
         self.sent_at
     }
 
-    /// Notes the first token, or the whole answer of a plain service.
-    pub fn first_token(&mut self) {
+    /// Records that the first token arrived, or the complete response of a service that is not an engine.
+    pub fn record_first_token(&mut self) {
         if std::mem::replace(&mut self.has_first_token, true) {
             return;
         }
-        let took = self.cx.now() - self.sent_at;
+        let elapsed = self.cx.now() - self.sent_at;
         let mut routing = self.cx.routing.lock();
         routing.loads.first_token(&self.server, self.rank, self.prefill_ms);
         if let Some(model) = &self.model {
-            let expected_ms = self.expected.as_secs_f64() * 1e3;
-            routing.speeds.note_first_token(&self.server, model, expected_ms, took);
+            let expected_ms = self.expected_latency.as_secs_f64() * 1e3;
+            routing.speeds.note_first_token(&self.server, model, expected_ms, elapsed);
         }
     }
 }
@@ -94,7 +95,7 @@
             routing.loads.first_token(&self.server, self.rank, self.prefill_ms);
         }
         routing.loads.end(&self.server);
-        if let Some(key) = &self.copy
+        if let Some(key) = &self.copy_key
             && let Some(requests) = routing.requests_by_copy.get_mut(key)
         {
             *requests -= 1;
--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -1,4 +1,4 @@
-//! Takes one request from its head to its answer.
+//! Proxies one request of a caller: receives it, sends it to servers and responds to the caller.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,97 +20,100 @@
 use super::context::NodeContext;
 use super::in_flight::InFlightRequest;
 use super::response::{Body, Refusal, RefusalCause, forward_response};
-use super::server_selection::Picked;
+use super::server_selection::SelectedServer;
 use super::stream;
 
-/// A non-idempotent request uses a kept connection only if it was in use this recently: on one that
-/// the server closes at that moment its outcome would be unknown without need.
-const FRESH_CONNECTION: Duration = Duration::from_millis(1_500);
+/// A non-idempotent request reuses a pooled connection only if it was in use this recently. If the server
+/// closes an idle connection just as the request is sent, whether the request ran is unknown, which a new
+/// connection avoids.
+const MAX_IDLE_FOR_NON_IDEMPOTENT: Duration = Duration::from_millis(1_500);
 
-/// Connections that one request may fail to open.
+/// The number of failed connection attempts after which a request is not tried again.
 const MAX_UNREACHABLE: u32 = 4;
 
-/// A repeatable request that got no answer within this many times what was expected goes elsewhere,
-/// if its server is silent to this node.
+/// A repeatable request without a response after this many times the expected latency is sent to another
+/// server, if its server sends nothing to any request of this node.
 const STALL_FACTOR: u32 = 4;
 
-/// No answer is waited for shorter than this before a repeatable request goes elsewhere.
+/// The minimum time to wait for a response before a repeatable request is sent to another server.
 const MIN_STALL: Duration = Duration::from_millis(250);
 
-/// The share of the target after which going elsewhere cannot be on time any more.
+/// The share of the target latency after which another server could not respond on time any more.
 const STALL_TARGET_SHARE: f64 = 0.6;
 
-/// The share of the time left that a repeatable request waits for its first server.
-const LONG_PATIENCE_SHARE: f64 = 0.5;
+/// The share of the remaining time for which a repeatable request waits for its server before it is sent to
+/// another one.
+const FIRST_SERVER_WAIT_SHARE: f64 = 0.5;
 
-/// One request on its way.
+/// A request of a caller that is being proxied.
 pub struct ProxyRequest {
     pub(super) cx: Arc<NodeContext>,
     pub(super) deployment: Arc<Deployment>,
     pub(super) route: Route,
     pub(super) service: Name,
     pub(super) head: RequestHead,
-    pub(super) keys: PrefixKeys,
-    pub(super) arrived: Instant,
-    /// Since when some server could have taken it.
+    pub(super) prefix_keys: PrefixKeys,
+    pub(super) arrived_at: Instant,
+    /// Since when some server could have taken the request: its arrival, or when its model was loaded.
     pub(super) queued_since: Instant,
-    /// When the last piece of a stream came.
-    pub(super) last_piece: Option<Instant>,
-    /// The longest pause between two pieces of a stream.
+    /// When the last chunk of a stream arrived.
+    pub(super) last_chunk_at: Option<Instant>,
+    /// The longest pause between two chunks of a stream.
     pub(super) longest_gap: Duration,
-    pub(super) ends: Instant,
+    pub(super) deadline: Instant,
     pub(super) method: Method,
-    pub(super) target: String,
+    pub(super) path_and_query: String,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// Servers that the request was sent to.
-    pub(super) tried: Vec<Name>,
-    /// Servers that could not be reached or refused, and are not asked again.
-    pub(super) avoided: Vec<Name>,
-    pub(super) unreachable: u32,
+    /// The servers that the request was sent to.
+    pub(super) attempted_servers: Vec<Name>,
+    /// The servers that were unreachable or refused the request, and are not tried again.
+    pub(super) excluded_servers: Vec<Name>,
+    /// The number of failed connection attempts.
+    pub(super) unreachable_count: u32,
     /// Whether a server may have run the request.
-    pub(super) in_doubt: bool,
-    /// A server's own failure, which is passed on if nothing better comes.
-    pub(super) failure: Option<(StatusCode, HeaderMap, Bytes)>,
+    pub(super) may_have_run: bool,
+    /// A server's error response, which is forwarded if no other server responds.
+    pub(super) failure_response: Option<(StatusCode, HeaderMap, Bytes)>,
     pub(super) last_server: Option<Name>,
-    /// What was expected of the last server, for the log.
-    pub(super) expected: Duration,
-    /// Time from arrival to the first token, for the log.
-    pub(super) first_token: Option<Duration>,
+    /// The latency expected of the last server, for the log.
+    pub(super) expected_latency: Duration,
+    /// The time from arrival to the first token, for the log.
+    pub(super) time_to_first_token: Option<Duration>,
 }
 
-/// What came of sending the request to a server.
+/// The result of trying the request at one server.
 pub(super) enum Attempt {
-    /// The caller's answer.
-    Answer(Response<Body>),
-    /// A stream that has begun.
-    Stream(Box<Opened>, Picked),
-    /// The next server may be tried.
-    Next,
+    /// The response to the caller.
+    Respond(Response<Body>),
+    /// A stream that has started, and its server.
+    Stream(Box<OpenedResponse>, SelectedServer),
+    /// There is no response for the caller yet; another server may be tried.
+    TryNext,
 }
 
-/// The head of a stream that has begun, with what is needed to go on.
-pub(super) struct Opened {
+/// The beginning of a server's response, and what is needed to read the rest.
+pub(super) struct OpenedResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     /// The first bytes of a stream.
-    pub(super) first: Option<Bytes>,
+    pub(super) first_chunk: Option<Bytes>,
     pub(super) body: Incoming,
     pub(super) connection: Connection,
-    pub(super) flight: InFlightRequest,
+    pub(super) in_flight: InFlightRequest,
 }
 
-/// What a server answered.
-enum Answered {
-    Head(Box<Opened>, AnswerKind),
+/// The result of sending the request to a server.
+enum SendResult {
+    Response(Box<OpenedResponse>, AnswerKind),
     Failed,
 }
 
-/// Serves one request of a caller.
+/// Serves a caller's request.
 pub async fn serve(cx: Arc<NodeContext>, req: Request<Incoming>) -> Response<Body> {
-    let arrived = cx.now();
-    match ProxyRequest::begin(cx.clone(), req, arrived).await {
-        Ok(relay) => relay.run().await,
+    let arrived_at = cx.now();
+    match ProxyRequest::receive(cx.clone(), req, arrived_at).await {
+        Ok(request) => request.run().await,
         Err(refusal) => {
             cx.metrics.note_refusal(refusal.cause);
             refusal.into_response()
@@ -120,74 +123,83 @@
 
 impl ProxyRequest {
     async fn run(mut self) -> Response<Body> {
-        self.note_work();
+        self.record_demand();
         loop {
-            let picked = match self.pick().await {
-                Ok(picked) => picked,
-                Err(refusal) => return self.finish_without(refusal),
+            let selected = match self.select_server().await {
+                Ok(selected) => selected,
+                Err(refusal) => return self.finish_with_refusal(refusal),
             };
-            match self.attempt(picked).await {
-                Attempt::Answer(answer) => return answer,
-                Attempt::Stream(opened, picked) => return stream::forward(self, *opened, picked),
-                Attempt::Next => {}
+            match self.attempt(selected).await {
+                Attempt::Respond(response) => return response,
+                Attempt::Stream(opened, selected) => {
+                    return stream::forward(self, *opened, selected);
+                }
+                Attempt::TryNext => {}
             }
             if let Some(cause) = self.obstacle_to_retry() {
-                let refusal = self.refusal(cause);
-                return self.finish_without(refusal);
+                let refusal = self.refusal_for(cause);
+                return self.finish_with_refusal(refusal);
             }
         }
     }
 
-    /// Returns the time that is left for the answer.
-    pub(super) fn left(&self) -> Duration {
-        self.ends.saturating_duration_since(self.cx.now())
+    /// Returns the time until the request's deadline.
+    pub(super) fn remaining_time(&self) -> Duration {
+        self.deadline.saturating_duration_since(self.cx.now())
     }
 
-    /// Returns whether the request may be sent to one more server, and takes it from the budget.
-    pub(super) fn may_send(&self) -> bool {
-        let sent = self.tried.len() as u32;
+    /// Returns whether the request may be sent to one more server; a retry is taken from the retry budget.
+    pub(super) fn reserve_attempt(&self) -> bool {
+        let attempts = self.attempted_servers.len() as u32;
         let mut routing = self.cx.routing.lock();
-        if sent == 0 {
+        if attempts == 0 {
             routing.retry_budget.earn(&self.service);
             return true;
         }
-        sent < self.route.max_attempts && routing.retry_budget.take(&self.service)
+        attempts < self.route.max_attempts && routing.retry_budget.take(&self.service)
     }
 
+    /// Returns why the request may not be sent to another server, or `None` if it may.
     fn obstacle_to_retry(&self) -> Option<RefusalCause> {
-        if self.left().is_zero() {
+        if self.remaining_time().is_zero() {
             return Some(RefusalCause::TimedOut);
         }
-        if self.in_doubt && !self.route.kind.is_repeatable() {
+        if self.may_have_run && !self.route.kind.is_repeatable() {
             return Some(RefusalCause::Broken);
         }
-        let exhausted = self.tried.len() as u32 >= self.route.max_attempts
-            || self.unreachable >= MAX_UNREACHABLE;
-        exhausted.then_some(if self.in_doubt { RefusalCause::Broken } else { RefusalCause::NotRun })
+        let exhausted = self.attempted_servers.len() as u32 >= self.route.max_attempts
+            || self.unreachable_count >= MAX_UNREACHABLE;
+        exhausted.then_some(if self.may_have_run {
+            RefusalCause::Broken
+        } else {
+            RefusalCause::NotRun
+        })
     }
 
-    /// Returns the refusal for a cause; a request that may have run is never said not to have.
-    fn refusal(&self, cause: RefusalCause) -> Refusal {
-        /// A caller that no server had room for may come back after this time.
-        const COME_BACK: Duration = Duration::from_millis(250);
+    /// Returns the refusal for a cause. If the request may have run, its status never promises that it did
+    /// not.
+    fn refusal_for(&self, cause: RefusalCause) -> Refusal {
+        /// The time after which a caller may retry a request that did not run.
+        const RETRY_AFTER: Duration = Duration::from_millis(250);
         let cause = match cause {
-            cause if self.in_doubt && promises_not_run(cause.status()) => RefusalCause::Broken,
+            cause if self.may_have_run && promises_not_run(cause.status()) => RefusalCause::Broken,
             cause => cause,
         };
         if promises_not_run(cause.status()) {
-            Refusal::with_retry_after(cause, COME_BACK.mul_f64(1.0 + self.cx.random_unit()))
+            Refusal::with_retry_after(cause, RETRY_AFTER.mul_f64(1.0 + self.cx.random_unit()))
         } else {
             Refusal::new(cause)
         }
     }
 
-    fn finish_without(mut self, refusal: Refusal) -> Response<Body> {
-        if let Some((status, headers, body)) = self.failure.take() {
+    /// Ends the request without a successful response from a server.
+    fn finish_with_refusal(mut self, refusal: Refusal) -> Response<Body> {
+        if let Some((status, headers, body)) = self.failure_response.take() {
             self.log_end("failed", status.as_u16(), None);
             return forward_response(status, headers, body);
         }
         let refusal = match refusal.cause {
-            cause if self.in_doubt => self.refusal(cause),
+            cause if self.may_have_run => self.refusal_for(cause),
             _ => refusal,
         };
         self.cx.metrics.note_refusal(refusal.cause);
@@ -195,174 +207,192 @@
         refusal.into_response()
     }
 
-    /// Writes the line that ends a request.
+    /// Logs the end of the request and counts it.
     pub(super) fn log_end(&self, outcome: &str, status: u16, retry_after: Option<Duration>) {
-        let model = self.head.generation.as_ref().map_or("", |asked| &asked.model);
-        let elapsed = self.cx.now() - self.arrived;
+        let model = self.head.generation.as_ref().map_or("", |generation| &generation.model);
+        let elapsed = self.cx.now() - self.arrived_at;
         self.cx.metrics.note_end(&self.route, outcome, elapsed);
         log::info!(
             request = &*self.head.id, route = &*self.route.name, rank = self.route.rank,
             model = model, server = self.last_server.as_deref().unwrap_or(""),
-            attempts = self.tried.len(), outcome = outcome, status = status,
+            attempts = self.attempted_servers.len(), outcome = outcome, status = status,
             elapsed_ms = elapsed.as_millis() as u64,
-            expected_ms = self.expected.as_millis() as u64,
+            expected_ms = self.expected_latency.as_millis() as u64,
             longest_gap_ms = self.longest_gap.as_millis() as u64,
-            first_token_ms = self.first_token.map_or(0, |took| took.as_millis() as u64),
+            first_token_ms = self.time_to_first_token.map_or(0, |time| time.as_millis() as u64),
             retry_after_ms = retry_after.map_or(0, |wait| wait.as_millis() as u64),
             config = self.deployment.version; "request ended"
         );
     }
 
-    async fn attempt(&mut self, picked: Picked) -> Attempt {
-        let (opened, kind) = match self.open(&picked, None).await {
-            Answered::Head(opened, kind) => (opened, kind),
-            Answered::Failed => return Attempt::Next,
+    /// Tries the request at the selected server.
+    async fn attempt(&mut self, selected: SelectedServer) -> Attempt {
+        let (opened, kind) = match self.send_to(&selected, None).await {
+            SendResult::Response(opened, kind) => (opened, kind),
+            SendResult::Failed => return Attempt::TryNext,
         };
         match kind {
-            AnswerKind::Success if self.route.kind.is_stream() => Attempt::Stream(opened, picked),
-            AnswerKind::Success => self.whole_answer(*opened, &picked).await,
+            AnswerKind::Success if self.route.kind.is_stream() => Attempt::Stream(opened, selected),
+            AnswerKind::Success => self.on_complete_response(*opened, &selected).await,
             AnswerKind::NotRun => {
-                self.note_not_run(*opened, &picked).await;
-                Attempt::Next
+                self.on_not_run(*opened, &selected).await;
+                Attempt::TryNext
             }
-            AnswerKind::Failure => self.server_failure(*opened, &picked).await,
+            AnswerKind::Failure => self.on_server_failure(*opened, &selected).await,
             AnswerKind::Foreign => {
-                self.in_doubt = true;
-                self.note(&picked.server.id, ServerOutcome::Unreachable);
-                Attempt::Next
+                self.may_have_run = true;
+                self.note_outcome(&selected.server.id, ServerOutcome::Unreachable);
+                Attempt::TryNext
             }
         }
     }
 
-    /// Sends the request to a server and waits for the head of its answer.
-    async fn open(&mut self, picked: &Picked, resume_after: Option<u64>) -> Answered {
-        let server = &picked.server;
+    /// Sends the request to a server and waits for the start of its response.
+    async fn send_to(
+        &mut self,
+        selected: &SelectedServer,
+        resume_after: Option<u64>,
+    ) -> SendResult {
+        let server = &selected.server;
         self.last_server = Some(server.id.clone());
-        self.expected = picked.expected;
+        self.expected_latency = selected.expected_latency;
         let max_idle = match self.route.kind {
-            RequestKind::NonIdempotent => FRESH_CONNECTION,
+            RequestKind::NonIdempotent => MAX_IDLE_FOR_NON_IDEMPOTENT,
             _ => Duration::MAX,
         };
         let address: Name = server.address.to_string().into();
-        let connect = Duration::from_millis(self.cx.settings.connect_timeout_ms).min(self.left());
+        let connect_timeout =
+            Duration::from_millis(self.cx.settings.connect_timeout_ms).min(self.remaining_time());
         let mut connection =
-            match self.cx.request_pool.connect_within(&address, max_idle, connect).await {
+            match self.cx.request_pool.connect_within(&address, max_idle, connect_timeout).await {
                 Ok(connection) => connection,
-                Err(err) => return self.not_connected(picked, &err),
+                Err(err) => return self.on_connect_failure(selected, &err),
             };
-        let flight = InFlightRequest::begin(self, picked);
-        self.tried.push(server.id.clone());
+        let in_flight = InFlightRequest::begin(self, selected);
+        self.attempted_servers.push(server.id.clone());
         let sent_at = self.cx.now();
-        let req = self.request(picked, resume_after);
+        let req = self.build_request(selected, resume_after);
         let send = async {
-            let mut answer = connection.send(req).await?;
-            let first = first_frame(&self.route, &mut answer).await;
-            Ok::<_, SendError>((answer, first))
+            let mut response = connection.send(req).await?;
+            let first_frame = read_first_frame(&self.route, &mut response).await;
+            Ok::<_, SendError>((response, first_frame))
         };
-        match self.with_patience(picked, sent_at, send).await {
-            Some(Ok((_, First::Broken))) => self.broken(&server.id),
-            Some(Ok((answer, first))) => {
-                let (parts, body) = answer.into_parts();
+        match self.await_response_start(selected, sent_at, send).await {
+            Some(Ok((_, FirstFrame::Broken))) => self.on_broken_connection(&server.id),
+            Some(Ok((response, first_frame))) => {
+                let (parts, body) = response.into_parts();
                 let kind = answer_kind(parts.status, &parts.headers, &self.head.id);
                 let (status, headers) = (parts.status, parts.headers);
                 self.cx.routing.lock().health.heard(&server.id, self.cx.now());
-                let first = match first {
-                    First::Data(data) => Some(data),
-                    First::None | First::Broken => None,
+                let first_chunk = match first_frame {
+                    FirstFrame::Data(data) => Some(data),
+                    FirstFrame::NoData | FirstFrame::Broken => None,
                 };
-                let opened = Opened { status, headers, first, body, connection, flight };
-                Answered::Head(Box::new(opened), kind)
+                let opened =
+                    OpenedResponse { status, headers, first_chunk, body, connection, in_flight };
+                SendResult::Response(Box::new(opened), kind)
             }
             Some(Err(err @ SendError::NotConnected { .. })) => {
-                self.tried.pop();
-                self.not_connected(picked, &err)
+                self.attempted_servers.pop();
+                self.on_connect_failure(selected, &err)
             }
             Some(Err(err)) => {
                 log::info!(
-                    request = &*self.head.id, server = &*server.id, err:% = err; "server broke off"
+                    request = &*self.head.id, server = &*server.id, err:% = err;
+                    "server failed before responding"
                 );
-                self.broken(&server.id)
+                self.on_broken_connection(&server.id)
             }
             None => {
                 log::info!(
                     request = &*self.head.id, server = &*server.id,
                     waited_ms = (self.cx.now() - sent_at).as_millis() as u64; "server silent"
                 );
-                self.broken(&server.id)
+                self.on_broken_connection(&server.id)
             }
         }
     }
 
-    /// Opens the stream again at another server, after the last event that was delivered.
-    pub(super) async fn reopen(&mut self, picked: &Picked, after: Option<u64>) -> Option<Opened> {
-        match self.open(picked, after).await {
-            Answered::Head(opened, AnswerKind::Success) => Some(*opened),
-            Answered::Head(opened, AnswerKind::NotRun) => {
-                self.note_not_run(*opened, picked).await;
+    /// Resumes the stream at another server, after the last event that was forwarded.
+    pub(super) async fn resume_at(
+        &mut self,
+        selected: &SelectedServer,
+        after: Option<u64>,
+    ) -> Option<OpenedResponse> {
+        match self.send_to(selected, after).await {
+            SendResult::Response(opened, AnswerKind::Success) => Some(*opened),
+            SendResult::Response(opened, AnswerKind::NotRun) => {
+                self.on_not_run(*opened, selected).await;
                 None
             }
-            Answered::Head(_, AnswerKind::Failure | AnswerKind::Foreign) => {
-                self.note(&picked.server.id, ServerOutcome::Failed);
+            SendResult::Response(_, AnswerKind::Failure | AnswerKind::Foreign) => {
+                self.note_outcome(&selected.server.id, ServerOutcome::Failed);
                 None
             }
-            Answered::Failed => None,
+            SendResult::Failed => None,
         }
     }
 
-    fn not_connected(&mut self, picked: &Picked, err: &SendError) -> Answered {
+    fn on_connect_failure(&mut self, selected: &SelectedServer, err: &SendError) -> SendResult {
         log::info!(request = &*self.head.id, err:% = err; "server unreachable");
-        self.unreachable += 1;
-        self.avoided.push(picked.server.id.clone());
-        self.note(&picked.server.id, ServerOutcome::Unreachable);
-        Answered::Failed
+        self.unreachable_count += 1;
+        self.excluded_servers.push(selected.server.id.clone());
+        self.note_outcome(&selected.server.id, ServerOutcome::Unreachable);
+        SendResult::Failed
     }
 
-    fn broken(&mut self, server: &Name) -> Answered {
-        self.in_doubt = true;
-        self.note(server, ServerOutcome::Unreachable);
-        Answered::Failed
+    fn on_broken_connection(&mut self, server: &Name) -> SendResult {
+        self.may_have_run = true;
+        self.note_outcome(server, ServerOutcome::Unreachable);
+        SendResult::Failed
     }
 
-    /// Waits for the beginning of an answer. A request that may go elsewhere does so soon if its server
-    /// sends nothing to any request of this node; one at a server that is only slow waits longer, since
-    /// a second prefill would make all others slower still. Nobody leaves for nowhere.
-    async fn with_patience<T>(
+    /// Waits for the start of a response; returns `None` if the request should leave the server. A request
+    /// that may be sent to another server leaves early if its server sends nothing to any request of this
+    /// node. It waits longer for a server that is only slow, since a second prefill would slow down all
+    /// other requests further. It stays if no other server would take it.
+    async fn await_response_start<T>(
         &self,
-        picked: &Picked,
+        selected: &SelectedServer,
         sent_at: Instant,
-        answer: impl Future<Output = T>,
+        response: impl Future<Output = T>,
     ) -> Option<T> {
-        let mut answer = std::pin::pin!(answer);
-        let can_go_elsewhere =
-            self.route.kind.is_repeatable() && (self.tried.len() as u32) < self.route.max_attempts;
-        if !can_go_elsewhere {
-            return tokio::time::timeout(self.left(), answer).await.ok();
+        let mut response = std::pin::pin!(response);
+        let may_retry = self.route.kind.is_repeatable()
+            && (self.attempted_servers.len() as u32) < self.route.max_attempts;
+        if !may_retry {
+            return tokio::time::timeout(self.remaining_time(), response).await.ok();
         }
-        let stall = (picked.expected * STALL_FACTOR).max(MIN_STALL);
-        if stall < self.route.target.mul_f64(STALL_TARGET_SHARE) {
-            if let Ok(answer) = tokio::time::timeout(stall, answer.as_mut()).await {
-                return Some(answer);
+        let stall_timeout = (selected.expected_latency * STALL_FACTOR).max(MIN_STALL);
+        if stall_timeout < self.route.target.mul_f64(STALL_TARGET_SHARE) {
+            if let Ok(result) = tokio::time::timeout(stall_timeout, response.as_mut()).await {
+                return Some(result);
             }
-            let heard = self.cx.routing.lock().health.was_heard_since(&picked.server.id, sent_at);
-            if !heard && self.has_alternative() {
+            let is_active =
+                self.cx.routing.lock().health.was_heard_since(&selected.server.id, sent_at);
+            if !is_active && self.has_alternative() {
                 return None;
             }
         }
-        let patience = self.left().mul_f64(LONG_PATIENCE_SHARE);
-        if let Ok(answer) = tokio::time::timeout(patience, answer.as_mut()).await {
-            return Some(answer);
+        let first_server_timeout = self.remaining_time().mul_f64(FIRST_SERVER_WAIT_SHARE);
+        if let Ok(result) = tokio::time::timeout(first_server_timeout, response.as_mut()).await {
+            return Some(result);
         }
         if self.has_alternative() {
             return None;
         }
-        tokio::time::timeout(self.left(), answer).await.ok()
+        tokio::time::timeout(self.remaining_time(), response).await.ok()
     }
 
-    fn request(&self, picked: &Picked, resume_after: Option<u64>) -> Request<Full<Bytes>> {
+    fn build_request(
+        &self,
+        selected: &SelectedServer,
+        resume_after: Option<u64>,
+    ) -> Request<Full<Bytes>> {
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.method.clone();
-        if let Ok(target) = self.target.parse() {
-            *req.uri_mut() = target;
+        if let Ok(uri) = self.path_and_query.parse() {
+            *req.uri_mut() = uri;
         }
         *req.headers_mut() = self.headers.clone();
         let headers = req.headers_mut();
@@ -372,46 +402,46 @@
             headers.insert(CONTENT_LENGTH, self.body.len().into());
         }
         let dispatch = Dispatch {
-            server: &picked.server.id,
-            left: self.left(),
-            priority: picked.priority,
+            server: &selected.server.id,
+            left: self.remaining_time(),
+            priority: selected.priority,
             resume_after,
-            copy_from: picked.copy_from,
+            copy_from: selected.copy_from,
         };
         set_dispatch(headers, dispatch);
         req
     }
 
-    /// Notes that the last server sent something.
-    pub(super) fn note_heard(&self) {
+    /// Records that the last server sent data.
+    pub(super) fn note_server_activity(&self) {
         if let Some(server) = &self.last_server {
             self.cx.routing.lock().health.heard(server, self.cx.now());
         }
     }
 
-    pub(super) fn note(&self, server: &Name, outcome: ServerOutcome) {
+    pub(super) fn note_outcome(&self, server: &Name, outcome: ServerOutcome) {
         let now = self.cx.now();
         self.cx.routing.lock().health.note(server, outcome, now);
     }
 }
 
-/// The beginning of an answer's body.
-enum First {
+/// The beginning of a response body.
+enum FirstFrame {
     /// Not read, or the body is empty.
-    None,
+    NoData,
     Data(Bytes),
     Broken,
 }
 
-/// Waits for the first bytes of a stream. The head is passed on only with them: an answer that breaks
-/// off before can still become another one.
-async fn first_frame(route: &Route, answer: &mut Response<Incoming>) -> First {
-    if !route.kind.is_stream() || !answer.status().is_success() {
-        return First::None;
+/// Waits for the first bytes of a stream. The headers are not forwarded before them, since until then the
+/// request can still be sent to another server if the stream breaks.
+async fn read_first_frame(route: &Route, response: &mut Response<Incoming>) -> FirstFrame {
+    if !route.kind.is_stream() || !response.status().is_success() {
+        return FirstFrame::NoData;
     }
-    match answer.body_mut().frame().await {
-        Some(Ok(frame)) => frame.into_data().map_or(First::None, First::Data),
-        Some(Err(_)) => First::Broken,
-        None => First::None,
+    match response.body_mut().frame().await {
+        Some(Ok(frame)) => frame.into_data().map_or(FirstFrame::NoData, FirstFrame::Data),
+        Some(Err(_)) => FirstFrame::Broken,
+        None => FirstFrame::NoData,
     }
 }
--- a/savoryport/src/node/receive.rs
+++ b/savoryport/src/node/receive.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request and finds its route.
+//! Receives a caller's request and matches it to a route.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,58 +16,61 @@
 use super::response::{Refusal, RefusalCause};
 
 impl ProxyRequest {
-    /// Reads a whole request; what cannot be served by any server is refused here.
-    pub(super) async fn begin(
+    /// Reads the complete request. A request that no server could serve is refused here.
+    pub(super) async fn receive(
         cx: Arc<NodeContext>,
         req: Request<Incoming>,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> Result<Self, Refusal> {
         let view = cx.fleet.view();
-        let wait = Duration::from_millis(cx.settings.store_poll_ms);
+        let retry_after = Duration::from_millis(cx.settings.store_poll_ms);
         let deployment = view
             .deployment()
             .cloned()
-            .ok_or(Refusal::with_retry_after(RefusalCause::NoConfig, wait))?;
+            .ok_or(Refusal::with_retry_after(RefusalCause::NoConfig, retry_after))?;
         let (parts, body) = req.into_parts();
         let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
         let route = find_route(&deployment, host, parts.uri.path())?.clone();
         let head = request_head(&parts.headers).map_err(|err| {
-            log::debug!(err:% = err; "head refused");
+            log::debug!(err:% = err; "request headers refused");
             Refusal::new(RefusalCause::BadHead)
         })?;
         let service = route.choose_service(cx.random_u64()).cloned();
         let service = service.ok_or(Refusal::new(RefusalCause::NoRoute))?;
-        let deadline = head.deadline.unwrap_or(route.timeout);
-        let ends = arrived + deadline.min(route.timeout);
-        let body = read_body(body, &deployment, ends.saturating_duration_since(cx.now())).await?;
+        let timeout = head.deadline.unwrap_or(route.timeout);
+        let deadline = arrived_at + timeout.min(route.timeout);
+        let body =
+            read_body(body, &deployment, deadline.saturating_duration_since(cx.now())).await?;
         let mut headers = parts.headers;
         strip_headers(&mut headers);
-        let keys = head.generation.as_ref().map(|asked| asked.prefix_keys()).unwrap_or_default();
-        let target = parts.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
+        let prefix_keys =
+            head.generation.as_ref().map(|generation| generation.prefix_keys()).unwrap_or_default();
+        let path_and_query =
+            parts.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
         Ok(Self {
             cx,
             deployment,
             route,
             service,
             head,
-            keys,
-            arrived,
-            queued_since: arrived,
-            last_piece: None,
+            prefix_keys,
+            arrived_at,
+            queued_since: arrived_at,
+            last_chunk_at: None,
             longest_gap: Duration::ZERO,
-            ends,
+            deadline,
             method: parts.method,
-            target,
+            path_and_query,
             headers,
             body,
-            tried: Vec::new(),
-            avoided: Vec::new(),
-            unreachable: 0,
-            in_doubt: false,
-            failure: None,
+            attempted_servers: Vec::new(),
+            excluded_servers: Vec::new(),
+            unreachable_count: 0,
+            may_have_run: false,
+            failure_response: None,
             last_server: None,
-            expected: Duration::ZERO,
-            first_token: None,
+            expected_latency: Duration::ZERO,
+            time_to_first_token: None,
         })
     }
 }
@@ -77,20 +80,20 @@
     host: &str,
     path: &str,
 ) -> Result<&'a Route, Refusal> {
-    let bare = host.rsplit_once(':').map_or(host, |(name, _)| name);
+    let host_name = host.rsplit_once(':').map_or(host, |(name, _)| name);
     deployment
         .route(host, path)
-        .or_else(|| deployment.route(bare, path))
+        .or_else(|| deployment.route(host_name, path))
         .ok_or(Refusal::new(RefusalCause::NoRoute))
 }
 
 async fn read_body(
     body: Incoming,
     deployment: &Deployment,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Bytes, Refusal> {
     let limited = Limited::new(body, deployment.limits.body_bytes);
-    match tokio::time::timeout(within, limited.collect()).await {
+    match tokio::time::timeout(timeout, limited.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(err)) if err.is::<LengthLimitError>() => {
             Err(Refusal::new(RefusalCause::BodyTooLong))
--- a/savoryport/src/node/server_response.rs
+++ b/savoryport/src/node/server_response.rs
@@ -1,4 +1,5 @@
-//! What a server's answer means for the request: it ends with it, or goes to the next server.
+//! Decides what a server's response means for the request: it is forwarded to the caller, or the request
+//! is tried at another server.
 
 use std::time::Duration;
 
@@ -10,56 +11,64 @@
 use savoryport_core::Name;
 use savoryport_core::node::health::ServerOutcome;
 
-use super::proxy::{Attempt, Opened, ProxyRequest};
+use super::proxy::{Attempt, OpenedResponse, ProxyRequest};
 use super::response::forward_response;
-use super::server_selection::Picked;
+use super::server_selection::SelectedServer;
 
-/// The rest of an answer that did not run is read for this long, to keep the connection.
-const REST_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long the rest of a response is read after the server did not run the request, so that the
+/// connection can be reused.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The longest whole answer that is held in memory, in bytes.
-const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// The maximum size of a response body that is buffered in memory, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 impl ProxyRequest {
-    pub(super) async fn whole_answer(&mut self, opened: Opened, picked: &Picked) -> Attempt {
-        let Opened { status, mut headers, body, connection, mut flight, .. } = opened;
-        match collect(body, self.left()).await {
+    /// Handles a successful response that is not a stream.
+    pub(super) async fn on_complete_response(
+        &mut self,
+        opened: OpenedResponse,
+        selected: &SelectedServer,
+    ) -> Attempt {
+        let OpenedResponse { status, mut headers, body, connection, mut in_flight, .. } = opened;
+        match collect_body(body, self.remaining_time()).await {
             Some(body) => {
-                flight.first_token();
-                self.note(&picked.server.id, ServerOutcome::Answered);
-                let took = self.cx.now() - flight.sent_at();
-                let server = &picked.server.id;
-                self.cx.routing.lock().speeds.note_service(server, &self.service, took);
+                in_flight.record_first_token();
+                self.note_outcome(&selected.server.id, ServerOutcome::Answered);
+                let elapsed = self.cx.now() - in_flight.sent_at();
+                let server = &selected.server.id;
+                self.cx.routing.lock().speeds.note_service(server, &self.service, elapsed);
                 self.cx.request_pool.keep(connection, keep_alive(&headers));
                 strip_connection_headers(&mut headers);
                 self.log_end("answered", status.as_u16(), None);
-                Attempt::Answer(forward_response(status, headers, body))
+                Attempt::Respond(forward_response(status, headers, body))
             }
             None => {
-                self.in_doubt = true;
-                self.note(&picked.server.id, ServerOutcome::Unreachable);
-                Attempt::Next
+                self.may_have_run = true;
+                self.note_outcome(&selected.server.id, ServerOutcome::Unreachable);
+                Attempt::TryNext
             }
         }
     }
 
-    pub(super) async fn note_not_run(&mut self, opened: Opened, picked: &Picked) {
-        let Opened { status, headers, body, connection, flight, .. } = opened;
-        drop(flight);
+    /// Handles a response which states that the server did not run the request.
+    pub(super) async fn on_not_run(&mut self, opened: OpenedResponse, selected: &SelectedServer) {
+        let OpenedResponse { status, headers, body, connection, in_flight, .. } = opened;
+        drop(in_flight);
         log::info!(
-            request = &*self.head.id, server = &*picked.server.id, status = status.as_u16(),
-            expected_ms = picked.expected.as_millis() as u64; "server refused"
+            request = &*self.head.id, server = &*selected.server.id, status = status.as_u16(),
+            expected_ms = selected.expected_latency.as_millis() as u64; "server refused"
         );
-        self.avoided.push(picked.server.id.clone());
+        self.excluded_servers.push(selected.server.id.clone());
         self.cx.metrics.not_run.inc();
-        self.learn_from_refusal(status, picked);
-        if collect(body, REST_TIMEOUT).await.is_some() {
+        self.learn_from_refusal(status, selected);
+        if collect_body(body, DISCARD_TIMEOUT).await.is_some() {
             self.cx.request_pool.keep(connection, keep_alive(&headers));
         }
     }
 
-    fn learn_from_refusal(&self, status: StatusCode, picked: &Picked) {
-        let (server, now) = (&picked.server, self.cx.now());
+    /// Records that the server does not hold the model or is full, so that requests avoid it for a while.
+    fn learn_from_refusal(&self, status: StatusCode, selected: &SelectedServer) {
+        let (server, now) = (&selected.server, self.cx.now());
         let mut routing = self.cx.routing.lock();
         match (status, self.copy_name()) {
             (StatusCode::MISDIRECTED_REQUEST, Some(copy)) => {
@@ -72,41 +81,47 @@
         }
     }
 
-    /// Returns the model, or the model and adapter, that the request asks for.
+    /// Returns `model` or `model/adapter`, as the request asks for it.
     pub(super) fn copy_name(&self) -> Option<Name> {
-        let asked = self.head.generation.as_ref()?;
-        Some(match &asked.adapter {
-            Some(adapter) => format!("{}/{adapter}", asked.model).into(),
-            None => asked.model.clone(),
+        let generation = self.head.generation.as_ref()?;
+        Some(match &generation.adapter {
+            Some(adapter) => format!("{}/{adapter}", generation.model).into(),
+            None => generation.model.clone(),
         })
     }
 
-    pub(super) async fn server_failure(&mut self, opened: Opened, picked: &Picked) -> Attempt {
-        let Opened { status, mut headers, body, connection, flight, .. } = opened;
-        let body = collect(body, self.left()).await;
-        drop(flight);
-        self.in_doubt = true;
-        self.note(&picked.server.id, ServerOutcome::Failed);
-        let Some(body) = body else { return Attempt::Next };
+    /// Handles an error response of the server, after which the request may have run.
+    pub(super) async fn on_server_failure(
+        &mut self,
+        opened: OpenedResponse,
+        selected: &SelectedServer,
+    ) -> Attempt {
+        let OpenedResponse { status, mut headers, body, connection, in_flight, .. } = opened;
+        let body = collect_body(body, self.remaining_time()).await;
+        drop(in_flight);
+        self.may_have_run = true;
+        self.note_outcome(&selected.server.id, ServerOutcome::Failed);
+        let Some(body) = body else { return Attempt::TryNext };
         self.cx.request_pool.keep(connection, keep_alive(&headers));
         strip_connection_headers(&mut headers);
-        // A status that promises "not run" without the server's word for it would be a lie.
+        // The caller would take this status as a promise that the request did not run, which the server
+        // did not state.
         if promises_not_run(status) && !self.route.kind.is_repeatable() {
-            return Attempt::Next;
+            return Attempt::TryNext;
         }
-        let goes_on = status.is_server_error() && self.route.kind.is_repeatable();
-        if goes_on {
-            self.failure = Some((status, headers, body));
-            return Attempt::Next;
+        let may_retry = status.is_server_error() && self.route.kind.is_repeatable();
+        if may_retry {
+            self.failure_response = Some((status, headers, body));
+            return Attempt::TryNext;
         }
         self.log_end("failed", status.as_u16(), None);
-        Attempt::Answer(forward_response(status, headers, body))
+        Attempt::Respond(forward_response(status, headers, body))
     }
 }
 
-/// Reads a body to its end; returns nothing if it broke off, was too long or took too long.
-async fn collect(body: Incoming, within: Duration) -> Option<Bytes> {
-    let limited = Limited::new(body, MAX_ANSWER_BYTES);
-    let collected = tokio::time::timeout(within, limited.collect()).await.ok()?.ok()?;
+/// Reads a complete body; returns `None` if it was incomplete, too large or took longer than `timeout`.
+async fn collect_body(body: Incoming, timeout: Duration) -> Option<Bytes> {
+    let limited = Limited::new(body, MAX_RESPONSE_BYTES);
+    let collected = tokio::time::timeout(timeout, limited.collect()).await.ok()?.ok()?;
     Some(collected.to_bytes())
 }
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -1,4 +1,4 @@
-//! Passes a server's stream on to the caller, and goes on at another server when it breaks.
+//! Forwards a server's stream to the caller, and resumes it at another server if it is interrupted.
 
 use std::time::Duration;
 
@@ -13,231 +13,252 @@
 use tokio::sync::mpsc;
 
 use super::event_splitter::EventSplitter;
-use super::proxy::{Opened, ProxyRequest};
+use super::proxy::{OpenedResponse, ProxyRequest};
 use super::response::{Body, IncompleteResponse};
-use super::server_selection::Picked;
+use super::server_selection::SelectedServer;
 
-/// Pieces that wait for a caller who reads slowly.
-const CALLER_BUFFER: usize = 16;
+/// The number of chunks that are buffered for a caller that reads slowly.
+const CALLER_BUFFER_CHUNKS: usize = 16;
 
-/// A stream that can go on elsewhere does so after this time without a byte, if its server sends nothing
-/// to anybody. Callers leave after two seconds at the earliest.
+/// A resumable stream is resumed at another server after this time without data, if its server sends
+/// nothing to any other request of this node either. Callers disconnect after two seconds at the earliest.
 const MAX_GAP: Duration = Duration::from_millis(1_200);
 
 /// How reading a server's stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
-    /// The server ended it.
-    Whole,
-    /// The connection broke, fell silent or sent what no stream may hold.
-    Broken,
-    /// The caller left.
+enum StreamEnd {
+    /// The server sent all of it.
+    Completed,
+    /// The connection failed, delivered no data for too long or delivered invalid data.
+    Interrupted,
+    /// The caller disconnected.
     CallerLeft,
-    /// The request's time is up.
+    /// The request's deadline passed.
     TimedOut,
 }
 
-/// One stream on its way to the caller.
-struct Forwarder {
-    relay: ProxyRequest,
-    pieces: mpsc::Sender<Result<Frame<Bytes>, IncompleteResponse>>,
-    cutter: EventSplitter,
+/// A stream that is being forwarded to the caller.
+struct StreamForwarder {
+    request: ProxyRequest,
+    chunks: mpsc::Sender<Result<Frame<Bytes>, IncompleteResponse>>,
+    splitter: EventSplitter,
     is_resumable: bool,
-    /// The last event that was passed on.
+    /// The id of the last event that was forwarded.
     last_event: Option<u64>,
 }
 
-/// Answers with the head of the first server's stream, and passes its events on in a task.
-pub(super) fn forward(relay: ProxyRequest, opened: Opened, picked: Picked) -> Response<Body> {
-    let (pieces, rx) = mpsc::channel(CALLER_BUFFER);
+/// Returns a response with the status and headers of the first server's stream, and spawns a task that
+/// forwards the events.
+pub(super) fn forward(
+    request: ProxyRequest,
+    opened: OpenedResponse,
+    selected: SelectedServer,
+) -> Response<Body> {
+    let (chunks, receiver) = mpsc::channel(CALLER_BUFFER_CHUNKS);
     let mut headers = opened.headers.clone();
     strip_connection_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
-    let mut answer = Response::new(BodyExt::boxed(StreamBody::new(receive(rx))));
-    *answer.status_mut() = opened.status;
-    *answer.headers_mut() = headers;
-    let forwarder = Forwarder {
-        is_resumable: relay.route.kind == RequestKind::Stream { resumable: true },
-        last_event: relay.head.last_event,
-        cutter: EventSplitter::default(),
-        pieces,
-        relay,
+    let mut response = Response::new(BodyExt::boxed(StreamBody::new(chunk_stream(receiver))));
+    *response.status_mut() = opened.status;
+    *response.headers_mut() = headers;
+    let forwarder = StreamForwarder {
+        is_resumable: request.route.kind == RequestKind::Stream { resumable: true },
+        last_event: request.head.last_event,
+        splitter: EventSplitter::default(),
+        chunks,
+        request,
     };
-    let serving = forwarder.relay.cx.caller_tasks.clone();
-    serving.spawn(forwarder.run(opened, picked));
-    answer
+    let caller_tasks = forwarder.request.cx.caller_tasks.clone();
+    caller_tasks.spawn(forwarder.run(opened, selected));
+    response
 }
 
-fn receive(
-    rx: mpsc::Receiver<Result<Frame<Bytes>, IncompleteResponse>>,
+fn chunk_stream(
+    receiver: mpsc::Receiver<Result<Frame<Bytes>, IncompleteResponse>>,
 ) -> impl futures::Stream<Item = Result<Frame<Bytes>, IncompleteResponse>> {
-    futures::stream::unfold(rx, async |mut rx| rx.recv().await.map(|piece| (piece, rx)))
+    futures::stream::unfold(receiver, async |mut receiver| {
+        receiver.recv().await.map(|chunk| (chunk, receiver))
+    })
 }
 
-impl Forwarder {
-    async fn run(mut self, mut opened: Opened, mut picked: Picked) {
+impl StreamForwarder {
+    async fn run(mut self, mut opened: OpenedResponse, mut selected: SelectedServer) {
         loop {
-            let end = self.pass(&mut opened).await;
+            let end = self.forward_until_end(&mut opened).await;
             let status = opened.status.as_u16();
             match end {
-                End::Whole => {
-                    let Opened { connection, headers, flight, .. } = opened;
-                    drop(flight);
-                    self.relay.note(&picked.server.id, ServerOutcome::Answered);
-                    self.relay.cx.request_pool.keep(connection, keep_alive(&headers));
-                    return self.relay.log_end("streamed", status, None);
+                StreamEnd::Completed => {
+                    let OpenedResponse { connection, headers, in_flight, .. } = opened;
+                    drop(in_flight);
+                    self.request.note_outcome(&selected.server.id, ServerOutcome::Answered);
+                    self.request.cx.request_pool.keep(connection, keep_alive(&headers));
+                    return self.request.log_end("streamed", status, None);
                 }
-                End::CallerLeft => return self.relay.log_end("caller-left", status, None),
-                End::TimedOut => return self.give_up("timed-out", status).await,
-                End::Broken => {}
+                StreamEnd::CallerLeft => return self.request.log_end("caller-left", status, None),
+                StreamEnd::TimedOut => return self.abort("timed-out", status).await,
+                StreamEnd::Interrupted => {}
             }
-            // The connection is closed before the stream goes on elsewhere.
+            // The connection is closed before the stream is resumed elsewhere.
             drop(opened);
-            self.relay.note(&picked.server.id, ServerOutcome::Unreachable);
+            self.request.note_outcome(&selected.server.id, ServerOutcome::Unreachable);
             match self.resume().await {
-                Some((next, chosen)) => (opened, picked) = (next, chosen),
-                None => return self.give_up("broken-off", status).await,
+                Some((next_opened, next_selected)) => {
+                    (opened, selected) = (next_opened, next_selected)
+                }
+                None => return self.abort("broken-off", status).await,
             }
         }
     }
 
-    async fn give_up(&mut self, outcome: &str, status: u16) {
-        let _ = self.pieces.send(Err(IncompleteResponse)).await;
-        self.relay.log_end(outcome, status, None);
+    /// Ends the caller's response as incomplete.
+    async fn abort(&mut self, outcome: &str, status: u16) {
+        let _ = self.chunks.send(Err(IncompleteResponse)).await;
+        self.request.log_end(outcome, status, None);
     }
 
-    /// Opens the stream at another server, if the request allows that.
-    async fn resume(&mut self) -> Option<(Opened, Picked)> {
+    /// Resumes the stream at another server, if the request allows that.
+    async fn resume(&mut self) -> Option<(OpenedResponse, SelectedServer)> {
         if !self.may_resume() {
             return None;
         }
-        self.cutter = EventSplitter::default();
-        while self.may_resume() && !self.relay.left().is_zero() {
-            let picked = tokio::select! {
-                picked = self.relay.pick() => picked,
-                () = self.pieces.closed() => return None,
+        self.splitter = EventSplitter::default();
+        while self.may_resume() && !self.request.remaining_time().is_zero() {
+            let selected = tokio::select! {
+                selected = self.request.select_server() => selected,
+                () = self.chunks.closed() => return None,
             };
-            let picked = match picked {
-                Ok(picked) => picked,
+            let selected = match selected {
+                Ok(selected) => selected,
                 Err(refusal) => {
                     log::info!(
-                        request = &*self.relay.head.id, cause = refusal.cause.name(),
-                        expected_ms = self.relay.expected.as_millis() as u64; "stream stays broken"
+                        request = &*self.request.head.id, cause = refusal.cause.name(),
+                        expected_ms = self.request.expected_latency.as_millis() as u64;
+                        "cannot resume stream"
                     );
                     return None;
                 }
             };
             log::info!(
-                request = &*self.relay.head.id, server = &*picked.server.id,
+                request = &*self.request.head.id, server = &*selected.server.id,
                 after = self.last_event.unwrap_or(0); "stream goes on elsewhere"
             );
-            self.relay.cx.metrics.resumed.inc();
-            let reopened = self.relay.reopen(&picked, self.last_event);
+            self.request.cx.metrics.resumed.inc();
+            let resumed = self.request.resume_at(&selected, self.last_event);
             let opened = tokio::select! {
-                opened = reopened => opened,
-                () = self.pieces.closed() => return None,
+                opened = resumed => opened,
+                () = self.chunks.closed() => return None,
             };
             if let Some(opened) = opened {
-                return Some((opened, picked));
+                return Some((opened, selected));
             }
         }
         None
     }
 
-    /// Passes a server's bytes on until its stream ends.
-    async fn pass(&mut self, opened: &mut Opened) -> End {
-        if let Some(first) = opened.first.take() {
-            self.note_first_token(opened);
-            if let Some(end) = self.take(first).await {
+    /// Forwards a server's bytes until its stream ends.
+    async fn forward_until_end(&mut self, opened: &mut OpenedResponse) -> StreamEnd {
+        if let Some(first_chunk) = opened.first_chunk.take() {
+            self.note_chunk(opened);
+            if let Some(end) = self.forward_data(first_chunk).await {
                 return end;
             }
         }
         loop {
-            let left = self.relay.left();
-            let gap = if self.may_resume() { MAX_GAP.min(left) } else { left };
+            let remaining = self.request.remaining_time();
+            let max_gap = if self.may_resume() { MAX_GAP.min(remaining) } else { remaining };
             let frame = tokio::select! {
-                frame = tokio::time::timeout(gap, opened.body.frame()) => frame,
-                () = self.pieces.closed() => return End::CallerLeft,
+                frame = tokio::time::timeout(max_gap, opened.body.frame()) => frame,
+                () = self.chunks.closed() => return StreamEnd::CallerLeft,
             };
-            if frame.is_err() && !self.relay.left().is_zero() && !self.should_leave(opened) {
+            if frame.is_err()
+                && !self.request.remaining_time().is_zero()
+                && !self.should_switch_server(opened)
+            {
                 continue;
             }
             let data = match frame {
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
-                Ok(Some(Err(_))) => return End::Broken,
-                Ok(None) => return self.finish().await,
-                Err(_) if self.relay.left().is_zero() => return End::TimedOut,
-                Err(_) => return End::Broken,
+                Ok(Some(Err(_))) => return StreamEnd::Interrupted,
+                Ok(None) => return self.finish_events().await,
+                Err(_) if self.request.remaining_time().is_zero() => return StreamEnd::TimedOut,
+                Err(_) => return StreamEnd::Interrupted,
             };
-            self.note_first_token(opened);
-            self.relay.note_heard();
-            if let Some(end) = self.take(data).await {
+            self.note_chunk(opened);
+            self.request.note_server_activity();
+            if let Some(end) = self.forward_data(data).await {
                 return end;
             }
         }
     }
 
     fn may_resume(&self) -> bool {
-        let relay = &self.relay;
-        self.is_resumable && (relay.tried.len() as u32) < relay.route.max_attempts
+        let request = &self.request;
+        self.is_resumable && (request.attempted_servers.len() as u32) < request.route.max_attempts
     }
 
-    /// Returns whether the server is silent to all requests of this node and another one would go on.
-    fn should_leave(&self, opened: &Opened) -> bool {
-        let cx = &self.relay.cx;
+    /// Returns whether the server currently sends nothing to any request of this node and another server
+    /// would resume the stream.
+    fn should_switch_server(&self, opened: &OpenedResponse) -> bool {
+        let cx = &self.request.cx;
         let since = cx.now() - MAX_GAP;
-        let heard = cx.routing.lock().health.was_heard_since(opened.flight.server(), since);
-        !heard && self.may_resume() && self.relay.has_alternative()
+        let is_active = cx.routing.lock().health.was_heard_since(opened.in_flight.server(), since);
+        !is_active && self.may_resume() && self.request.has_alternative()
     }
 
-    fn note_first_token(&mut self, opened: &mut Opened) {
-        opened.flight.first_token();
-        let relay = &mut self.relay;
-        let now = relay.cx.now();
-        relay.first_token.get_or_insert(now - relay.arrived);
-        if let Some(last) = relay.last_piece.replace(now) {
-            relay.longest_gap = relay.longest_gap.max(now - last);
+    /// Records the time to the first token, and the pause since the previous chunk.
+    fn note_chunk(&mut self, opened: &mut OpenedResponse) {
+        opened.in_flight.record_first_token();
+        let request = &mut self.request;
+        let now = request.cx.now();
+        request.time_to_first_token.get_or_insert(now - request.arrived_at);
+        if let Some(last) = request.last_chunk_at.replace(now) {
+            request.longest_gap = request.longest_gap.max(now - last);
         }
     }
 
-    /// Passes bytes on; those of a resumable stream event by event.
-    async fn take(&mut self, data: Bytes) -> Option<End> {
+    /// Forwards bytes; those of a resumable stream as complete events, without events that were already
+    /// forwarded.
+    async fn forward_data(&mut self, data: Bytes) -> Option<StreamEnd> {
         if !self.is_resumable {
-            return self.send(data).await;
+            return self.send_to_caller(data).await;
         }
-        if !self.cutter.push(&data) {
-            return Some(End::Broken);
+        if !self.splitter.push(&data) {
+            return Some(StreamEnd::Interrupted);
         }
         let mut ready = bytes::BytesMut::new();
-        while let Some(event) = self.cutter.next_event() {
+        while let Some(event) = self.splitter.next_event() {
             match (event.id, self.last_event) {
                 (Some(id), Some(last)) if id <= last => continue,
-                (Some(id), Some(last)) if id > last + 1 => return Some(End::Broken),
+                (Some(id), Some(last)) if id > last + 1 => return Some(StreamEnd::Interrupted),
                 (Some(id), _) => self.last_event = Some(id),
                 (None, _) => {}
             }
             ready.extend_from_slice(&event.bytes);
         }
-        if ready.is_empty() { None } else { self.send(ready.freeze()).await }
+        if ready.is_empty() { None } else { self.send_to_caller(ready.freeze()).await }
     }
 
-    async fn finish(&mut self) -> End {
-        if !self.cutter.has_partial_event() {
-            return End::Whole;
+    /// Forwards what is left after the server ended its stream.
+    async fn finish_events(&mut self) -> StreamEnd {
+        if !self.splitter.has_partial_event() {
+            return StreamEnd::Completed;
         }
-        let rest = self.cutter.take_partial_event();
-        self.send(rest).await.unwrap_or(End::Whole)
+        let rest = self.splitter.take_partial_event();
+        self.send_to_caller(rest).await.unwrap_or(StreamEnd::Completed)
     }
 
-    async fn send(&mut self, data: Bytes) -> Option<End> {
+    async fn send_to_caller(&mut self, data: Bytes) -> Option<StreamEnd> {
         if data.is_empty() {
             return None;
         }
-        let sent = tokio::time::timeout(self.relay.left(), self.pieces.send(Ok(Frame::data(data))));
-        match sent.await {
+        let sending = tokio::time::timeout(
+            self.request.remaining_time(),
+            self.chunks.send(Ok(Frame::data(data))),
+        );
+        match sending.await {
             Ok(Ok(())) => None,
-            Ok(Err(_)) => Some(End::CallerLeft),
-            Err(_) => Some(End::TimedOut),
+            Ok(Err(_)) => Some(StreamEnd::CallerLeft),
+            Err(_) => Some(StreamEnd::TimedOut),
         }
     }
 }
