--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -36,7 +36,7 @@
     pub request_pool: Pool,
     /// Connections to model engines for load and unload orders and for reports.
     pub order_pool: Pool,
-    /// What this node knows of the configuration, servers, members and duty holders.
+    /// What this node knows of the configuration, servers, members and domain leaders.
     pub fleet: Fleet,
     /// Measurements of the servers, by which requests are routed.
     pub routing: SharedRoutingState,
@@ -50,7 +50,7 @@
     pub tenure: u64,
     /// Connections to other nodes.
     pub peers: Peers,
-    /// The failure domains whose duty this node holds.
+    /// The failure domains that this node leads.
     pub desks: Desks,
     /// The node's counters and histograms.
     pub metrics: NodeMetrics,
--- a/savoryport/src/node/prompt_log.rs
+++ b/savoryport/src/node/prompt_log.rs
@@ -1,4 +1,5 @@
-//! The prompts that servers have recently read, in the order in which this duty holder learned of them.
+//! The prompts that servers have recently read, in the order in which this domain leader learned of
+//! them.
 //!
 //! Load pattern: many prompts share few prefixes. A node that does not know where a prefix is cached
 //! sends it to a server that has to read it again, so every node is told of every shared prefix. The
@@ -20,7 +21,7 @@
 /// the recently used ones there.
 const ANNOUNCE_PERIOD: Duration = Duration::from_secs(5);
 
-/// The recent prompts known to a duty holder, numbered from 1.
+/// The recent prompts known to a domain leader, numbered from 1.
 #[derive(Debug, Default)]
 pub struct PromptLog {
     entries: VecDeque<LogEntry>,
--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -241,7 +241,7 @@
             AnswerKind::Failure => self.on_server_failure(*opened, &selected).await,
             AnswerKind::Foreign => {
                 self.may_have_run = true;
-                self.note_outcome(&selected.server.id, ServerOutcome::Unreachable);
+                self.record_outcome(&selected.server.id, ServerOutcome::Unreachable);
                 Attempt::TryNext
             }
         }
@@ -326,7 +326,7 @@
                 None
             }
             SendResult::Response(_, AnswerKind::Failure | AnswerKind::Foreign) => {
-                self.note_outcome(&selected.server.id, ServerOutcome::Failed);
+                self.record_outcome(&selected.server.id, ServerOutcome::Failed);
                 None
             }
             SendResult::Failed => None,
@@ -337,13 +337,13 @@
         log::info!(request = &*self.head.id, err:% = err; "server unreachable");
         self.unreachable_count += 1;
         self.excluded_servers.push(selected.server.id.clone());
-        self.note_outcome(&selected.server.id, ServerOutcome::Unreachable);
+        self.record_outcome(&selected.server.id, ServerOutcome::Unreachable);
         SendResult::Failed
     }
 
     fn on_broken_connection(&mut self, server: &Name) -> SendResult {
         self.may_have_run = true;
-        self.note_outcome(server, ServerOutcome::Unreachable);
+        self.record_outcome(server, ServerOutcome::Unreachable);
         SendResult::Failed
     }
 
@@ -413,13 +413,13 @@
     }
 
     /// Records that the last server sent data.
-    pub(super) fn note_server_activity(&self) {
+    pub(super) fn record_server_activity(&self) {
         if let Some(server) = &self.last_server {
             self.cx.routing.lock().health.heard(server, self.cx.now());
         }
     }
 
-    pub(super) fn note_outcome(&self, server: &Name, outcome: ServerOutcome) {
+    pub(super) fn record_outcome(&self, server: &Name, outcome: ServerOutcome) {
         let now = self.cx.now();
         self.cx.routing.lock().health.note(server, outcome, now);
     }
--- a/savoryport/src/node/server_response.rs
+++ b/savoryport/src/node/server_response.rs
@@ -33,7 +33,7 @@
         match collect_body(body, self.remaining_time()).await {
             Some(body) => {
                 in_flight.record_first_token();
-                self.note_outcome(&selected.server.id, ServerOutcome::Answered);
+                self.record_outcome(&selected.server.id, ServerOutcome::Answered);
                 let elapsed = self.cx.now() - in_flight.sent_at();
                 let server = &selected.server.id;
                 self.cx.routing.lock().speeds.note_service(server, &self.service, elapsed);
@@ -44,7 +44,7 @@
             }
             None => {
                 self.may_have_run = true;
-                self.note_outcome(&selected.server.id, ServerOutcome::Unreachable);
+                self.record_outcome(&selected.server.id, ServerOutcome::Unreachable);
                 Attempt::TryNext
             }
         }
@@ -100,7 +100,7 @@
         let body = collect_body(body, self.remaining_time()).await;
         drop(in_flight);
         self.may_have_run = true;
-        self.note_outcome(&selected.server.id, ServerOutcome::Failed);
+        self.record_outcome(&selected.server.id, ServerOutcome::Failed);
         let Some(body) = body else { return Attempt::TryNext };
         self.cx.request_pool.keep(connection, keep_alive(&headers));
         strip_connection_headers(&mut headers);
--- a/savoryport/src/node/server_selection.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -37,7 +37,7 @@
 /// that time.
 const MS_PER_OUTPUT_TOKEN: f64 = 0.05;
 
-/// The time after which a caller may retry if servers or the duty holders that control them are missing.
+/// The time after which a caller may retry if servers or the leaders of their failure domains are missing.
 const RETRY_AFTER: Duration = Duration::from_millis(600);
 
 /// The server that a request is sent to.
@@ -315,7 +315,8 @@
         }
     }
 
-    /// Asks the duty holder of the model's failure domain to load it; returns how long that will take.
+    /// Asks the leader of the model's failure domain to load it; returns how long that will take, or `None`
+    /// if it cannot be loaded now.
     async fn request_model_load(&self, model: &Name) -> Option<Duration> {
         let cx = &self.cx;
         let domains = engine_domains(&cx.fleet.view(), &self.service);
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -90,7 +90,7 @@
                 StreamEnd::Completed => {
                     let OpenedResponse { connection, headers, in_flight, .. } = opened;
                     drop(in_flight);
-                    self.request.note_outcome(&selected.server.id, ServerOutcome::Answered);
+                    self.request.record_outcome(&selected.server.id, ServerOutcome::Answered);
                     self.request.cx.request_pool.keep(connection, keep_alive(&headers));
                     return self.request.log_end("streamed", status, None);
                 }
@@ -100,7 +100,7 @@
             }
             // The connection is closed before the stream is resumed elsewhere.
             drop(opened);
-            self.request.note_outcome(&selected.server.id, ServerOutcome::Unreachable);
+            self.request.record_outcome(&selected.server.id, ServerOutcome::Unreachable);
             match self.resume().await {
                 Some((next_opened, next_selected)) => {
                     (opened, selected) = (next_opened, next_selected)
@@ -158,7 +158,7 @@
     /// Forwards a server's bytes until its stream ends.
     async fn forward_until_end(&mut self, opened: &mut OpenedResponse) -> StreamEnd {
         if let Some(first_chunk) = opened.first_chunk.take() {
-            self.note_chunk(opened);
+            self.record_chunk(opened);
             if let Some(end) = self.forward_data(first_chunk).await {
                 return end;
             }
@@ -183,8 +183,8 @@
                 Err(_) if self.request.remaining_time().is_zero() => return StreamEnd::TimedOut,
                 Err(_) => return StreamEnd::Interrupted,
             };
-            self.note_chunk(opened);
-            self.request.note_server_activity();
+            self.record_chunk(opened);
+            self.request.record_server_activity();
             if let Some(end) = self.forward_data(data).await {
                 return end;
             }
@@ -206,7 +206,7 @@
     }
 
     /// Records the time to the first token, and the pause since the previous chunk.
-    fn note_chunk(&mut self, opened: &mut OpenedResponse) {
+    fn record_chunk(&mut self, opened: &mut OpenedResponse) {
         opened.in_flight.record_first_token();
         let request = &mut self.request;
         let now = request.cx.now();
--- a/savoryport/tests/node_parts.rs
+++ b/savoryport/tests/node_parts.rs
@@ -1,4 +1,5 @@
-//! Parts of a node by themselves: the cutter of events, settings, and beliefs that followers take.
+//! Tests of parts of a node without a running node: the event splitter, the settings, the member list, the
+//! health of the store and the prompt log.
 
 use std::time::{Duration, Instant};
 
@@ -19,32 +20,32 @@
 fn events_are_cut_at_blank_lines_however_their_bytes_arrive() {
     let stream = "id: 1\ndata: a\n\nversion: 2\nid: 2\r\ndata: b\r\n\r\ndata: no id\n\nid: 4\nda";
     for size in 1..stream.len() {
-        let mut cutter = EventSplitter::default();
-        let mut seen = Vec::new();
-        for piece in stream.as_bytes().chunks(size) {
-            assert!(cutter.push(piece));
-            while let Some(event) = cutter.next_event() {
-                seen.push(event);
+        let mut splitter = EventSplitter::default();
+        let mut events = Vec::new();
+        for chunk in stream.as_bytes().chunks(size) {
+            assert!(splitter.push(chunk));
+            while let Some(event) = splitter.next_event() {
+                events.push(event);
             }
         }
-        let ids: Vec<_> = seen.iter().map(|event| event.id).collect();
-        assert_eq!(ids, [Some(1), Some(2), None], "pieces of {size}");
-        assert!(cutter.has_partial_event());
-        let mut bytes: Vec<u8> = seen.iter().flat_map(|event| event.bytes.to_vec()).collect();
-        bytes.extend(cutter.take_partial_event());
+        let ids: Vec<_> = events.iter().map(|event| event.id).collect();
+        assert_eq!(ids, [Some(1), Some(2), None], "chunks of {size} bytes");
+        assert!(splitter.has_partial_event());
+        let mut bytes: Vec<u8> = events.iter().flat_map(|event| event.bytes.to_vec()).collect();
+        bytes.extend(splitter.take_partial_event());
         assert_eq!(bytes, stream.as_bytes());
     }
 }
 
 #[test]
-fn an_endless_event_is_not_kept() {
-    let mut cutter = EventSplitter::default();
-    let piece = vec![b'x'; 64 * 1024];
-    assert!((0..32).any(|_| !cutter.push(&piece)));
+fn event_that_exceeds_the_size_limit_is_rejected() {
+    let mut splitter = EventSplitter::default();
+    let chunk = vec![b'x'; 64 * 1024];
+    assert!((0..32).any(|_| !splitter.push(&chunk)));
 }
 
 #[test]
-fn settings_name_every_mistake_at_once_and_warn_of_unknown_keys() {
+fn settings_report_all_invalid_fields_at_once_and_list_unknown_keys() {
     let good = NodeSettings::parse(r#"{"vm":"a","new_field":1}"#).expect("settings");
     assert_eq!(good.unknown, ["new_field"]);
     let bad = r#"{"callers_listen":"nowhere","sync_period_ms":0,"vm":"","memory_mb":"much"}"#;
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn a_member_that_nobody_vouches_for_is_not_named_any_more() {
+fn member_that_no_node_confirms_expires() {
     let (fleet, now) = (Fleet::new(member("own")), Instant::now());
     fleet.update(|state| state.set_members(vec![member("own"), member("gone")], now));
     assert_eq!(fleet.view().members.len(), 2);
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn a_follower_that_falls_silent_is_not_named_any_more() {
+fn follower_that_stops_reporting_expires() {
     let (fleet, now) = (Fleet::new(member("own")), Instant::now());
     fleet.update(|state| state.note_member(member("follower"), now));
     fleet.update(|state| state.expire_members(now + Duration::from_millis(400)));
@@ -77,8 +78,9 @@
     assert_eq!(fleet.view().members.len(), 1);
 }
 
-/// A holder that the store turned away made its followers read for themselves; they took the time in which
-/// they had not called for an outage, and kept leaving servers two seconds longer.
+/// When the store refused a domain leader, its followers read the store themselves. They mistook the time
+/// before, in which they had not called it, for an outage, and kept servers that were leaving in use for
+/// two seconds longer.
 #[test]
 fn a_store_that_was_not_called_was_not_away() {
     let (contact, now) = (StoreContact::default(), Instant::now());
@@ -93,33 +95,36 @@
     assert!(!contact.is_recovering(at(33_000)));
 }
 
-/// A prompt with the shared beginning `key` and a part of its own.
-fn prompt(key: u64, own: u64) -> PromptRecord {
-    let keys = [(key, 6_300), (own, 9_190)].into_iter().collect();
+/// Returns a prompt with the shared prefix `shared_key` and a part of its own.
+fn prompt(shared_key: u64, own_key: u64) -> PromptRecord {
+    let keys = [(shared_key, 6_300), (own_key, 9_190)].into_iter().collect();
     PromptRecord { server: "s".into(), incarnation: 1, keys }
 }
 
 #[test]
-fn other_failure_domains_hear_of_a_shared_beginning_once_and_of_nothing_else() {
+fn only_shared_prefixes_are_announced_to_other_failure_domains_and_only_once() {
     let (mut log, now) = (PromptLog::default(), Instant::now());
     log.add_local(&"a".into(), &[prompt(1, 10), prompt(1, 11), prompt(2, 12)], now);
-    let (position, told) = log.shared_prefixes_since(0);
-    let keys: Vec<_> = told.iter().map(|record| record.keys.to_vec()).collect();
+    let (position, announced) = log.shared_prefixes_since(0);
+    let keys: Vec<_> = announced.iter().map(|record| record.keys.to_vec()).collect();
     assert_eq!(keys, [[(1, 6_300)], [(2, 6_300)]]);
     log.add_local(&"a".into(), &[prompt(1, 13)], now);
     assert_eq!(log.shared_prefixes_since(position).1, []);
-    // Told again after a while, or it would be forgotten elsewhere while it is in use here.
+    // It is announced again after a while, or the other domains would drop it while it is in use here.
     log.add_local(&"a".into(), &[prompt(1, 14)], now + Duration::from_secs(6));
     assert_eq!(log.shared_prefixes_since(position).1.len(), 1);
 }
 
 #[test]
-fn followers_hear_of_whole_prompts_and_of_other_domains_beginnings() {
+fn followers_receive_full_prompts_and_prefixes_of_other_domains() {
     let (mut log, now) = (PromptLog::default(), Instant::now());
     log.add_local(&"a".into(), &[prompt(1, 10)], now);
     log.add_remote(&[prompt(3, 30)]);
     assert_eq!(log.records_since(0, "a").1, [prompt(3, 30)]);
     assert_eq!(log.records_since(0, "b").1, [prompt(1, 10), prompt(3, 30)]);
-    let told_on = log.shared_prefixes_since(0).1;
-    assert!(told_on.iter().all(|record| record.keys[0].0 == 1), "foreign news is not told on");
+    let announced = log.shared_prefixes_since(0).1;
+    assert!(
+        announced.iter().all(|record| record.keys[0].0 == 1),
+        "prefixes of other domains are not announced again"
+    );
 }
--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -1,4 +1,4 @@
-//! Promises about requests on the platform, with real nodes and failing servers.
+//! Guarantees for callers' requests, tested with real node processes and failing servers.
 
 mod node_site;
 
@@ -13,13 +13,13 @@
 fn callers_get_whole_answers_with_the_servers_proof() {
     let site = NodeSite::start(2);
     for node in 0..2 {
-        let commit = site.get(node, &format!("c-{node}"), Ask::Commit);
-        assert_eq!(commit.status, 200);
-        assert_eq!(commit.body, Some(format!("answer to c-{node}")));
-        assert!(commit.proof.is_some());
+        let response = site.get(node, &format!("c-{node}"), Ask::Commit);
+        assert_eq!(response.status, 200);
+        assert_eq!(response.body, Some(format!("answer to c-{node}")));
+        assert!(response.proof.is_some());
         let id = format!("d-{node}");
-        let draft = site.get(node, &id, Ask::Draft("m0"));
-        assert_eq!((draft.status, draft.body), (200, Some(whole_stream(&id))));
+        let stream = site.get(node, &id, Ask::Draft("m0"));
+        assert_eq!((stream.status, stream.body), (200, Some(whole_stream(&id))));
     }
     assert!(site.runs().values().all(|count| *count == 1));
 }
@@ -31,8 +31,8 @@
         ["m0/a1", "m0/a2", "m0/a3", "m0/a4", "m0/a5", "m1/a1", "m0/a1", "m2/a6"].iter().enumerate()
     {
         let id = format!("a-{number}");
-        let draft = site.get(number % 2, &id, Ask::Draft(model));
-        assert_eq!((draft.status, draft.body), (200, Some(whole_stream(&id))), "{model}");
+        let stream = site.get(number % 2, &id, Ask::Draft(model));
+        assert_eq!((stream.status, stream.body), (200, Some(whole_stream(&id))), "{model}");
     }
     assert!(site.servers.iter().all(|server| server.overcommitted() == 0));
     assert!(site.servers.iter().any(|server| !server.orders().is_empty()));
@@ -62,9 +62,9 @@
             site.server(server).set_fault(fault);
         }
         let id = format!("once-{fault:?}");
-        let answer = site.get(0, &id, Ask::Commit);
-        assert!([502, 504].contains(&answer.status), "{fault:?}: {answer:?}");
-        assert_eq!((site.runs_of(&id), answer.proof), (1, None), "{fault:?}");
+        let response = site.get(0, &id, Ask::Commit);
+        assert!([502, 504].contains(&response.status), "{fault:?}: {response:?}");
+        assert_eq!((site.runs_of(&id), response.proof), (1, None), "{fault:?}");
     }
 }
 
@@ -74,15 +74,15 @@
     site.server("plain-0").set_fault(BackendFault::Crosses);
     for number in 0..12 {
         let id = format!("x-{number}");
-        let answer = site.get(0, &id, Ask::Lookup);
-        if answer.status == 200 {
-            assert_eq!(answer.body, Some(format!("answer to {id}")));
+        let response = site.get(0, &id, Ask::Lookup);
+        if response.status == 200 {
+            assert_eq!(response.body, Some(format!("answer to {id}")));
         }
     }
 }
 
 #[test]
-fn a_repeatable_request_survives_a_server_that_fails() {
+fn idempotent_request_is_retried_after_a_server_error() {
     let site = NodeSite::start(1);
     site.server("plain-0").set_fault(BackendFault::Fails);
     for number in 0..12 {
@@ -96,8 +96,8 @@
     site.server("engine-0").set_fault(BackendFault::BreaksStreams);
     for number in 0..6 {
         let id = format!("s-{number}");
-        let draft = site.get(0, &id, Ask::Draft("m0"));
-        assert_eq!((draft.status, draft.body), (200, Some(whole_stream(&id))));
+        let stream = site.get(0, &id, Ask::Draft("m0"));
+        assert_eq!((stream.status, stream.body), (200, Some(whole_stream(&id))));
     }
 }
 
@@ -105,8 +105,8 @@
 fn a_stream_that_breaks_late_goes_on_though_a_new_one_would_be_refused_by_then() {
     let mut site = NodeSite::start(1);
     site.models.push(("m3", 0.4));
-    // The first of the two is asked, since neither has anything to do. Its third event would come after
-    // 1.2 s, more than twice the target of the first event.
+    // The first of the two is selected, since both are idle. Its third event would come after 1.2 s, more
+    // than twice the target latency of the first event.
     site.add_paced_server("late-a", "drafts", &["m3"], Duration::from_millis(400));
     site.server("late-a").set_fault(BackendFault::BreaksStreams);
     site.add_server("late-b", "drafts", &["m3"]);
@@ -115,13 +115,13 @@
         let status = site.nodes[0].status();
         ["late-a", "late-b"].iter().all(|id| status.contains(id))
     });
-    let draft = site.get(0, "late", Ask::Draft("m3"));
-    assert_eq!((draft.status, draft.body), (200, Some(whole_stream("late"))));
+    let stream = site.get(0, "late", Ask::Draft("m3"));
+    assert_eq!((stream.status, stream.body), (200, Some(whole_stream("late"))));
     assert_eq!(site.server("late-a").runs_of("late"), 1);
 }
 
-/// Starts a node with one engine that holds `m3`, has this fault, and has nobody to stand in for it.
-fn site_with_a_lone_engine(fault: BackendFault) -> NodeSite {
+/// Starts a node and an engine with this fault, which is the only one that holds `m3`.
+fn site_with_only_one_engine_for_m3(fault: BackendFault) -> NodeSite {
     let mut site = NodeSite::start(1);
     site.models.push(("m3", 0.4));
     site.add_server("lone", "drafts", &["m3"]);
@@ -132,61 +132,61 @@
 }
 
 #[test]
-fn a_stream_is_not_cut_off_for_its_servers_silence_where_nobody_else_takes_it() {
+fn stalled_stream_is_kept_open_if_no_other_server_can_resume_it() {
     let pause = Duration::from_millis(2_000);
-    let site = site_with_a_lone_engine(BackendFault::Stalls { before: 3, pause });
-    let draft = site.get(0, "silent", Ask::Draft("m3"));
-    assert_eq!((draft.status, draft.body), (200, Some(whole_stream("silent"))));
+    let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before: 3, pause });
+    let stream = site.get(0, "silent", Ask::Draft("m3"));
+    assert_eq!((stream.status, stream.body), (200, Some(whole_stream("silent"))));
     assert_eq!(site.runs_of("silent"), 1);
 }
 
 #[test]
-fn a_slow_first_event_is_waited_for_where_nobody_else_takes_the_request() {
-    // More than half of the route's time, after which a request may go elsewhere.
+fn request_waits_for_a_slow_first_event_if_no_other_server_can_take_it() {
+    // More than half of the route's timeout, after which a request may be sent to another server.
     let pause = Duration::from_millis(2_500);
-    let site = site_with_a_lone_engine(BackendFault::Stalls { before: 1, pause });
-    let draft = site.get(0, "slow", Ask::Draft("m3"));
-    assert_eq!((draft.status, draft.body), (200, Some(whole_stream("slow"))));
+    let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before: 1, pause });
+    let stream = site.get(0, "slow", Ask::Draft("m3"));
+    assert_eq!((stream.status, stream.body), (200, Some(whole_stream("slow"))));
     assert_eq!(site.runs_of("slow"), 1);
 }
 
 #[test]
-fn a_request_that_waits_for_its_model_is_served_when_the_model_comes() {
-    /// Longer than the time for which a request may queue at the servers.
+fn request_waits_until_its_model_is_loaded() {
+    /// Longer than a request may queue at the servers, in seconds.
     const LOAD_S: f64 = 1.0;
     let mut site = NodeSite::start(1);
     site.models.push(("m3", LOAD_S));
     site.write_config();
     let in_force = format!("\"config\":{}", site.version);
     site.wait("the model is known", |site| site.nodes[0].status().contains(&in_force));
-    let asked = Instant::now();
-    let draft = site.get(0, "waits", Ask::Draft("m3"));
-    assert_eq!((draft.status, draft.body), (200, Some(whole_stream("waits"))));
-    assert!(asked.elapsed().as_secs_f64() >= LOAD_S);
+    let sent_at = Instant::now();
+    let stream = site.get(0, "waits", Ask::Draft("m3"));
+    assert_eq!((stream.status, stream.body), (200, Some(whole_stream("waits"))));
+    assert!(sent_at.elapsed().as_secs_f64() >= LOAD_S);
 }
 
 #[test]
 fn engines_that_restart_under_their_ids_are_filled_again() {
-    /// Models that nobody asks for are brought back after three seconds; one that is asked for must not
-    /// wait for that.
-    const ASKED_FOR: Duration = Duration::from_millis(2_500);
+    /// Models without requests are loaded again after three seconds; one that is requested must not wait
+    /// for that.
+    const MAX_RELOAD_TIME: Duration = Duration::from_millis(2_500);
     let mut site = NodeSite::start(1);
     assert_eq!(site.get(0, "before", Ask::Draft("m0")).status, 200);
     site.restart_engines();
-    let restarted = Instant::now();
+    let restarted_at = Instant::now();
     site.wait("the model is back", |site| site.get(0, "after", Ask::Draft("m0")).status == 200);
-    assert!(restarted.elapsed() < ASKED_FOR, "{:?}", restarted.elapsed());
+    assert!(restarted_at.elapsed() < MAX_RELOAD_TIME, "{:?}", restarted_at.elapsed());
     assert!(site.servers.iter().all(|server| server.overcommitted() == 0));
 }
 
 #[test]
-fn requests_go_on_while_the_store_is_away() {
+fn requests_are_served_while_the_store_is_unavailable() {
     let site = NodeSite::start(2);
     for mode in [StoreMode::Busy, StoreMode::Silent] {
         site.store.set_mode(mode);
-        let ends = Instant::now() + Duration::from_millis(2_500);
+        let deadline = Instant::now() + Duration::from_millis(2_500);
         let mut number = 0;
-        while Instant::now() < ends {
+        while Instant::now() < deadline {
             number += 1;
             let id = format!("o-{mode:?}-{number}");
             assert_eq!(site.get(number % 2, &id, Ask::Lookup).status, 200, "{mode:?}");
@@ -206,11 +206,11 @@
         }
         let newest = format!("v{}", site.version);
         let in_force = |site: &NodeSite, node: usize| {
-            let answer = ureq::get(format!("http://{}/{newest}/x", site.nodes[node].callers))
+            let response = ureq::get(format!("http://{}/{newest}/x", site.nodes[node].callers))
                 .header("Host", "site.example")
                 .header("X-Attempt-Id", "probe")
                 .call();
-            answer.is_ok_and(|answer| answer.status() == 200)
+            response.is_ok_and(|response| response.status() == 200)
         };
         for node in 0..3 {
             site.wait("the newest route is served", |site| in_force(site, node));
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_garbled_entry_names_no_server_and_harms_no_other() {
+fn malformed_server_entry_is_ignored() {
     let site = NodeSite::start(1);
     site.store.write("servers/ghost", &serde_json::json!({ "service": 7 }));
     site.store.write("servers/ghost-2", &serde_json::json!("no entry at all"));
@@ -244,55 +244,60 @@
 #[test]
 fn a_stopping_node_leaves_the_directory_answers_and_finishes_its_streams() {
     let mut site = NodeSite::start(3);
-    site.wait("all are named", |site| site.nodes[0].addresses().len() == 3);
+    site.wait("all nodes are named", |site| site.nodes[0].addresses().len() == 3);
     let callers = site.nodes[2].callers.clone();
     std::thread::scope(|scope| {
         let stream = scope.spawn(|| site.get(2, "last", Ask::Draft("m0")));
         std::thread::sleep(Duration::from_millis(30));
         site.nodes[2].signal(Signal::TERM);
-        let answer = stream.join().expect("the caller's thread ends");
-        assert_eq!(answer.body, Some(whole_stream("last")));
+        let response = stream.join().expect("the caller's thread ends");
+        assert_eq!(response.body, Some(whole_stream("last")));
     });
-    site.wait("it is named no more", |site| {
+    site.wait("the stopping node is no longer named", |site| {
         (0..2).all(|node| {
             let named = site.nodes[node].addresses();
             !named.is_empty() && !named.contains(&callers)
         })
     });
-    let ended = site.nodes[2].wait();
-    assert!(ended.is_some_and(|status| status.success()));
+    let exit_status = site.nodes[2].wait();
+    assert!(exit_status.is_some_and(|status| status.success()));
 }
 
 #[test]
 fn a_new_duty_holder_waits_until_the_orders_of_the_former_one_are_a_turn_ago() {
     let mut site = NodeSite::start(2);
     assert_eq!(site.get(0, "first", Ask::Draft("m0/a1")).status, 200);
-    let orders = |site: &NodeSite| {
-        let mut all: Vec<_> = site.servers.iter().flat_map(|server| server.orders()).collect();
-        all.sort_by_key(|order| order.at);
-        all
+    let all_orders = |site: &NodeSite| {
+        let mut orders: Vec<_> = site.servers.iter().flat_map(|server| server.orders()).collect();
+        orders.sort_by_key(|order| order.at);
+        orders
     };
-    let former = orders(&site).last().expect("an order was given").holder.clone();
-    let number = site.nodes.iter().position(|node| node.name == former).expect("a known node");
-    let other = 1 - number;
-    // It stands still past its lease, and wakes while the other one gives orders.
-    site.nodes[number].signal(Signal::STOP);
+    let former_holder = all_orders(&site).last().expect("an order was given").holder.clone();
+    let former = site
+        .nodes
+        .iter()
+        .position(|node| node.name == former_holder)
+        .expect("the holder is a node of the site");
+    let other = 1 - former;
+    // The former holder is frozen until its lease has expired, and continues while the other node gives
+    // orders.
+    site.nodes[former].signal(Signal::STOP);
     site.wait("the other node gives orders", |site| {
-        let id = format!("second-{}", orders(site).len());
+        let id = format!("second-{}", all_orders(site).len());
         site.get(other, &id, Ask::Draft("m0/a2")).status == 200
-            && orders(site).iter().any(|order| order.holder != former)
+            && all_orders(site).iter().any(|order| order.holder != former_holder)
     });
-    site.nodes[number].signal(Signal::CONT);
+    site.nodes[former].signal(Signal::CONT);
     for round in 0..5 {
-        let _ = site.get(number, &format!("third-{round}"), Ask::Draft("m0/a3"));
+        let _ = site.get(former, &format!("third-{round}"), Ask::Draft("m0/a3"));
     }
-    let all = orders(&site);
-    for pair in all.windows(2).filter(|pair| pair[0].holder != pair[1].holder) {
+    let orders = all_orders(&site);
+    for pair in orders.windows(2).filter(|pair| pair[0].holder != pair[1].holder) {
         assert!(pair[1].at - pair[0].at >= Duration::from_millis(node_site::TURN_MS));
         assert!(pair[1].fencing_token > pair[0].fencing_token);
     }
-    site.nodes[number].signal(Signal::KILL);
-    let _ = site.nodes[number].wait();
+    site.nodes[former].signal(Signal::KILL);
+    let _ = site.nodes[former].wait();
 }
 
 #[test]
@@ -310,9 +315,9 @@
 }
 
 #[test]
-fn malformed_heads_and_unknown_routes_are_answered_by_the_node() {
+fn malformed_headers_and_unknown_routes_are_refused_by_the_node() {
     let site = NodeSite::start(1);
-    let ask = |host: &str, path: &str, id: Option<&str>| {
+    let request_status = |host: &str, path: &str, id: Option<&str>| {
         let config = ureq::Agent::config_builder().http_status_as_error(false).build();
         let agent: ureq::Agent = config.into();
         let url = format!("http://{}{path}", site.nodes[0].callers);
@@ -320,10 +325,10 @@
         if let Some(id) = id {
             req = req.header("X-Attempt-Id", id);
         }
-        req.call().expect("an answer").status().as_u16()
+        req.call().expect("a response").status().as_u16()
     };
-    assert_eq!(ask("site.example", "/lookup/x", None), 400);
-    assert_eq!(ask("site.example", "/nowhere/x", Some("n")), 404);
-    assert_eq!(ask("other.example", "/lookup/x", Some("n")), 404);
-    assert_eq!(ask("site.example:80", "/lookup/x", Some("port")), 200);
+    assert_eq!(request_status("site.example", "/lookup/x", None), 400);
+    assert_eq!(request_status("site.example", "/nowhere/x", Some("n")), 404);
+    assert_eq!(request_status("other.example", "/lookup/x", Some("n")), 404);
+    assert_eq!(request_status("site.example:80", "/lookup/x", Some("port")), 200);
 }
