--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -11,15 +11,15 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::desk::Desks;
+use super::domain_controller::DomainControllers;
 use super::fleet::Fleet;
-use super::hub::Hub;
 use super::metrics::NodeMetrics;
+use super::peer_server::PeerReports;
 use super::peers::Peers;
-use super::reader::StoreContact;
 use super::routing_state::SharedRoutingState;
 use super::rpc::CopyUse;
 use super::settings::NodeSettings;
+use super::store_reader::StoreHealth;
 use super::view::Member;
 
 /// The state shared by all tasks of a node.
@@ -41,9 +41,9 @@
     /// Measurements of the servers, by which requests are routed.
     pub routing: SharedRoutingState,
     /// What other nodes reported to this one.
-    pub hub: Hub,
+    pub peer_reports: PeerReports,
     /// When the store last answered.
-    pub store_contact: StoreContact,
+    pub store_health: StoreHealth,
     /// This node's entry in the member list.
     pub member: Member,
     /// A number that differs between starts of the process.
@@ -51,7 +51,7 @@
     /// Connections to other nodes.
     pub peers: Peers,
     /// The failure domains that this node leads.
-    pub desks: Desks,
+    pub controllers: DomainControllers,
     /// The node's counters and histograms.
     pub metrics: NodeMetrics,
     /// Cancelled when the node is asked to stop.
@@ -75,7 +75,7 @@
     pub fn copies_in_domain(&self, domain: &str) -> Vec<CopyUse> {
         let view = self.fleet.view();
         let mut uses = self.routing.lock().copies_in_use();
-        uses.extend(self.hub.follower_copies());
+        uses.extend(self.peer_reports.follower_copies());
         uses.retain(|usage| {
             let server = view.servers.get(&usage.server);
             server.is_some_and(|server| &*server.failure_domain == domain)
--- a/savoryport/src/node/duty.rs
+++ b/savoryport/src/node/leadership.rs
@@ -9,9 +9,9 @@
 use savoryport_core::node::duty::Duty;
 
 use super::context::NodeContext;
-use super::desk::Desk;
-use super::reader::duty_key;
-use super::view::DutyHolder;
+use super::domain_controller::DomainController;
+use super::store_reader::duty_key;
+use super::view::DomainLeader;
 
 /// The pause between two looks at the duties.
 const LOOK_PAUSE: Duration = Duration::from_millis(100);
@@ -46,13 +46,13 @@
     let mut vacancies = Vacancies::default();
     while !cx.stopping.is_cancelled() {
         tokio::time::sleep(LOOK_PAUSE).await;
-        if !cx.store_contact.is_good(cx.now()) {
+        if !cx.store_health.is_available(cx.now()) {
             continue;
         }
         for domain in vacancies.open(&cx) {
             let handicap = HANDICAP.div_f64(cx.settings.cpu_share.max(MIN_CPU_SHARE));
             tokio::time::sleep(handicap + TRY_SPREAD.mul_f64(cx.random_unit())).await;
-            if cx.fleet.read(|state| state.holder(&domain).is_some()) {
+            if cx.fleet.read(|state| state.leader(&domain).is_some()) {
                 continue;
             }
             vacancies.try_take(&cx, &domain).await;
@@ -77,14 +77,14 @@
             .map(|server| server.failure_domain.clone())
             .collect();
         domains.insert(own.clone());
-        self.held_before.extend(view.holders.keys().cloned());
-        self.since.retain(|domain, _| !view.holders.contains_key(domain));
-        let vacant = domains.into_iter().filter(|domain| !view.holders.contains_key(domain));
+        self.held_before.extend(view.leaders.keys().cloned());
+        self.since.retain(|domain, _| !view.leaders.contains_key(domain));
+        let vacant = domains.into_iter().filter(|domain| !view.leaders.contains_key(domain));
         vacant
             .filter(|domain| {
                 let since = *self.since.entry(domain.clone()).or_insert(now);
-                let is_adopted = cx.desks.holds_any() && now - since > ADOPT_AFTER;
-                !cx.desks.holds(domain) && (domain == own || is_adopted)
+                let is_adopted = cx.controllers.leads_any() && now - since > ADOPT_AFTER;
+                !cx.controllers.leads(domain) && (domain == own || is_adopted)
             })
             .collect()
     }
@@ -97,8 +97,8 @@
             Ok(lease) => lease,
             Err(err) => return log::warn!(err:% = err; "no lease for the duty"),
         };
-        let holder = DutyHolder { vm: cx.settings.vm.clone(), peers: cx.settings.peers_listen() };
-        let value = serde_json::to_vec(&holder).expect("plain fields serialize");
+        let leader = DomainLeader { vm: cx.settings.vm.clone(), peers: cx.settings.peers_listen() };
+        let value = serde_json::to_vec(&leader).expect("plain fields serialize");
         let key = duty_key(domain);
         let transaction = Transaction {
             expected: vec![(key.clone(), 0)],
@@ -118,9 +118,10 @@
                 let mut duty = Duty::new(time_to_live);
                 duty.won(revision, asked_at, cx.lease_clock.now(), hand_over);
                 log::info!(domain = &**domain, token = revision, hand_over_ms = hand_over.as_millis() as u64; "duty taken");
-                let desk = cx.desks.open(cx, Desk::new(domain.clone(), lease, duty));
-                cx.fleet.update(|state| state.set_holder(domain, Some(holder)));
-                tokio::spawn(keep(cx.clone(), desk));
+                let controller =
+                    cx.controllers.open(cx, DomainController::new(domain.clone(), lease, duty));
+                cx.fleet.update(|state| state.set_leader(domain, Some(leader)));
+                tokio::spawn(keep(cx.clone(), controller));
             }
             Ok(Committed::Conflict) => {
                 self.held_before.insert(domain.clone());
@@ -136,39 +137,40 @@
 }
 
 /// Renews the lease of a desk until it ends, then closes the desk.
-async fn keep(cx: Arc<NodeContext>, desk: Arc<Desk>) {
+async fn keep(cx: Arc<NodeContext>, controller: Arc<DomainController>) {
     let pause = cx.settings.duty_lease() / RENEWALS_PER_LEASE;
     loop {
         tokio::time::sleep(pause).await;
-        if desk.cancel.is_cancelled() {
+        if controller.cancel.is_cancelled() {
             return;
         }
         let asked_at = cx.lease_clock.now();
         cx.metrics.store_calls.inc();
-        match cx.store.keep(desk.lease_id()).await {
+        match cx.store.keep(controller.lease_id()).await {
             Ok(()) => {
-                desk.renewed(asked_at);
-                cx.store_contact.heard(cx.now());
+                controller.renewed(asked_at);
+                cx.store_health.record_answer(cx.now());
             }
             Err(StoreError::LeaseEnded) => break,
-            Err(err) => log::debug!(domain = &*desk.domain, err:% = err; "duty not renewed"),
+            Err(err) => log::debug!(domain = &*controller.domain, err:% = err; "duty not renewed"),
         }
     }
-    log::warn!(domain = &*desk.domain; "duty lost");
-    cx.desks.close(&desk);
+    log::warn!(domain = &*controller.domain; "duty lost");
+    cx.controllers.close(&controller);
     cx.fleet.update(|state| {
-        let is_own = state.holder(&desk.domain).is_some_and(|holder| holder.vm == cx.settings.vm);
+        let is_own =
+            state.leader(&controller.domain).is_some_and(|leader| leader.vm == cx.settings.vm);
         if is_own {
-            state.set_holder(&desk.domain, None);
+            state.set_leader(&controller.domain, None);
         }
     });
 }
 
 async fn give_up_all(cx: &NodeContext) {
-    for desk in cx.desks.all() {
-        cx.desks.close(&desk);
-        log::info!(domain = &*desk.domain; "duty given up");
-        end_lease(cx, desk.lease_id()).await;
+    for controller in cx.controllers.all() {
+        cx.controllers.close(&controller);
+        log::info!(domain = &*controller.domain; "duty given up");
+        end_lease(cx, controller.lease_id()).await;
     }
 }
 
--- a/savoryport/src/node/server_selection.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -12,11 +12,11 @@
 use savoryport_core::node::request::Generation;
 use savoryport_core::node::selection::{Candidate, Demanded, Distance, choose};
 
-use super::planner::engine_domains;
+use super::planner::domains_with_ready_servers;
 use super::proxy::ProxyRequest;
 use super::response::{Refusal, RefusalCause};
 use super::rpc::WishReply;
-use super::view::View;
+use super::view::FleetView;
 
 /// The pause between two searches for a server with room for an adapter.
 const ADAPTER_ROOM_POLL: Duration = Duration::from_millis(60);
@@ -223,11 +223,14 @@
         Selection::Selected(selected, choice.candidate.adapter_orders > 0)
     }
 
-    fn ready_servers<'a>(&'a self, view: &'a View) -> impl Iterator<Item = &'a Arc<BackendServer>> {
+    fn ready_servers<'a>(&'a self, view: &'a FleetView) -> impl Iterator<Item = &'a Arc<BackendServer>> {
         view.servers.values().filter(|server| server.service == self.service && server.is_ready())
     }
 
-    fn candidates<'a>(&'a self, view: &'a View) -> Vec<(Candidate<'a>, &'a Arc<BackendServer>)> {
+    fn candidates<'a>(
+        &'a self,
+        view: &'a FleetView,
+    ) -> Vec<(Candidate<'a>, &'a Arc<BackendServer>)> {
         let nodes = view.members.len().max(1) as u32;
         let service = self.deployment.services.get(&self.service);
         let limit = service.map_or(u32::MAX, |service| service.connection_limit);
@@ -277,14 +280,15 @@
         let Some(adapter) = &generation.adapter else { return true };
         let cx = &self.cx;
         let wanted = (server.id.clone(), generation.model.clone(), adapter.clone());
-        if cx.desks.holds(&server.failure_domain) {
+        if cx.controllers.leads(&server.failure_domain) {
             let (server, model, adapter) = &wanted;
-            return cx.desks.want_adapter(cx, server, model, adapter).await == WishReply::Ready;
+            return cx.controllers.ensure_adapter(cx, server, model, adapter).await
+                == WishReply::Ready;
         }
-        let holder = cx.fleet.read(|state| state.holder(&server.failure_domain).cloned());
-        let Some(holder) = holder else { return false };
+        let leader = cx.fleet.read(|state| state.leader(&server.failure_domain).cloned());
+        let Some(leader) = leader else { return false };
         let load_request = async {
-            let connection = cx.peers.get(holder.peers).await?;
+            let connection = cx.peers.get(leader.peers).await?;
             connection.want_adapter(wanted, LOAD_REQUEST_TIMEOUT).await
         };
         let timeout = LOAD_REQUEST_TIMEOUT.min(self.remaining_time());
@@ -319,14 +323,14 @@
     /// if it cannot be loaded now.
     async fn request_model_load(&self, model: &Name) -> Option<Duration> {
         let cx = &self.cx;
-        let domains = engine_domains(&cx.fleet.view(), &self.service);
+        let domains = domains_with_ready_servers(&cx.fleet.view(), &self.service);
         let domain = owner(model, domains.iter()).unwrap_or(&cx.settings.failure_domain);
-        let reply = if cx.desks.holds(domain) {
-            cx.desks.want_model(cx, &self.service, model, domain)
+        let reply = if cx.controllers.leads(domain) {
+            cx.controllers.request_model(cx, &self.service, model, domain)
         } else {
-            let holder = cx.fleet.read(|state| state.holder(domain).cloned())?;
+            let leader = cx.fleet.read(|state| state.leader(domain).cloned())?;
             let load_request = async {
-                let connection = cx.peers.get(holder.peers).await?;
+                let connection = cx.peers.get(leader.peers).await?;
                 connection
                     .want_model((self.service.clone(), model.clone()), LOAD_REQUEST_TIMEOUT)
                     .await
--- a/savoryport/tests/node_parts.rs
+++ b/savoryport/tests/node_parts.rs
@@ -7,9 +7,9 @@
 use savoryport::node::event_splitter::EventSplitter;
 use savoryport::node::fleet::Fleet;
 use savoryport::node::prompt_log::PromptLog;
-use savoryport::node::reader::StoreContact;
 use savoryport::node::rpc::PromptRecord;
 use savoryport::node::settings::{NodeSettings, NodeSettingsError};
+use savoryport::node::store_reader::StoreHealth;
 use savoryport::node::view::Member;
 
 fn member(vm: &str) -> Member {
@@ -71,7 +71,7 @@
 #[test]
 fn follower_that_stops_reporting_expires() {
     let (fleet, now) = (Fleet::new(member("own")), Instant::now());
-    fleet.update(|state| state.note_member(member("follower"), now));
+    fleet.update(|state| state.record_member(member("follower"), now));
     fleet.update(|state| state.expire_members(now + Duration::from_millis(400)));
     assert_eq!(fleet.view().members.len(), 2);
     fleet.update(|state| state.expire_members(now + Duration::from_millis(600)));
@@ -83,16 +83,16 @@
 /// two seconds longer.
 #[test]
 fn a_store_that_was_not_called_was_not_away() {
-    let (contact, now) = (StoreContact::default(), Instant::now());
+    let (health, now) = (StoreHealth::default(), Instant::now());
     let at = |ms| now + Duration::from_millis(ms);
-    assert_eq!(contact.heard(at(0)), None);
-    assert_eq!(contact.heard(at(28_000)), None);
-    assert!(!contact.is_recovering(at(28_000)));
-    contact.failed(at(29_000));
-    contact.failed(at(30_000));
-    assert_eq!(contact.heard(at(31_000)), Some(Duration::from_secs(2)));
-    assert!(contact.is_recovering(at(31_000)));
-    assert!(!contact.is_recovering(at(33_000)));
+    assert_eq!(health.record_answer(at(0)), None);
+    assert_eq!(health.record_answer(at(28_000)), None);
+    assert!(!health.is_recovering(at(28_000)));
+    health.record_failure(at(29_000));
+    health.record_failure(at(30_000));
+    assert_eq!(health.record_answer(at(31_000)), Some(Duration::from_secs(2)));
+    assert!(health.is_recovering(at(31_000)));
+    assert!(!health.is_recovering(at(33_000)));
 }
 
 /// Returns a prompt with the shared prefix `shared_key` and a part of its own.
--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use node_site::{Ask, NodeSite, whole_stream};
+use node_site::{NodeSite, RequestKind, expected_stream};
 use rustix::process::Signal;
 use savoryport_standin::backend::BackendFault;
 use savoryport_standin::metadata::StoreMode;
@@ -13,13 +13,13 @@
 fn callers_get_whole_answers_with_the_servers_proof() {
     let site = NodeSite::start(2);
     for node in 0..2 {
-        let response = site.get(node, &format!("c-{node}"), Ask::Commit);
+        let response = site.send(node, &format!("c-{node}"), RequestKind::NonIdempotent);
         assert_eq!(response.status, 200);
         assert_eq!(response.body, Some(format!("answer to c-{node}")));
-        assert!(response.proof.is_some());
+        assert!(response.server_stamp.is_some());
         let id = format!("d-{node}");
-        let stream = site.get(node, &id, Ask::Draft("m0"));
-        assert_eq!((stream.status, stream.body), (200, Some(whole_stream(&id))));
+        let stream = site.send(node, &id, RequestKind::Stream("m0"));
+        assert_eq!((stream.status, stream.body), (200, Some(expected_stream(&id))));
     }
     assert!(site.runs().values().all(|count| *count == 1));
 }
@@ -31,8 +31,8 @@
         ["m0/a1", "m0/a2", "m0/a3", "m0/a4", "m0/a5", "m1/a1", "m0/a1", "m2/a6"].iter().enumerate()
     {
         let id = format!("a-{number}");
-        let stream = site.get(number % 2, &id, Ask::Draft(model));
-        assert_eq!((stream.status, stream.body), (200, Some(whole_stream(&id))), "{model}");
+        let stream = site.send(number % 2, &id, RequestKind::Stream(model));
+        assert_eq!((stream.status, stream.body), (200, Some(expected_stream(&id))), "{model}");
     }
     assert!(site.servers.iter().all(|server| server.overcommitted() == 0));
     assert!(site.servers.iter().any(|server| !server.orders().is_empty()));
@@ -43,13 +43,13 @@
     let site = NodeSite::start(1);
     site.server("plain-0").set_fault(BackendFault::Full);
     for number in 0..12 {
-        assert_eq!(site.get(0, &format!("l-{number}"), Ask::Lookup).status, 200);
+        assert_eq!(site.send(0, &format!("l-{number}"), RequestKind::Idempotent).status, 200);
     }
     for id in ["plain-1", "plain-2"] {
         site.server(id).set_fault(BackendFault::Full);
     }
-    let refused = site.get(0, "c-refused", Ask::Commit);
-    assert_eq!((refused.status, refused.proof), (503, None));
+    let refused = site.send(0, "c-refused", RequestKind::NonIdempotent);
+    assert_eq!((refused.status, refused.server_stamp), (503, None));
     assert!(refused.retry_after.is_some());
     assert_eq!(site.runs_of("c-refused"), 0);
 }
@@ -62,9 +62,9 @@
             site.server(server).set_fault(fault);
         }
         let id = format!("once-{fault:?}");
-        let response = site.get(0, &id, Ask::Commit);
+        let response = site.send(0, &id, RequestKind::NonIdempotent);
         assert!([502, 504].contains(&response.status), "{fault:?}: {response:?}");
-        assert_eq!((site.runs_of(&id), response.proof), (1, None), "{fault:?}");
+        assert_eq!((site.runs_of(&id), response.server_stamp), (1, None), "{fault:?}");
     }
 }
 
@@ -74,7 +74,7 @@
     site.server("plain-0").set_fault(BackendFault::Crosses);
     for number in 0..12 {
         let id = format!("x-{number}");
-        let response = site.get(0, &id, Ask::Lookup);
+        let response = site.send(0, &id, RequestKind::Idempotent);
         if response.status == 200 {
             assert_eq!(response.body, Some(format!("answer to {id}")));
         }
@@ -86,7 +86,7 @@
     let site = NodeSite::start(1);
     site.server("plain-0").set_fault(BackendFault::Fails);
     for number in 0..12 {
-        assert_eq!(site.get(0, &format!("f-{number}"), Ask::Lookup).status, 200);
+        assert_eq!(site.send(0, &format!("f-{number}"), RequestKind::Idempotent).status, 200);
     }
 }
 
@@ -96,8 +96,8 @@
     site.server("engine-0").set_fault(BackendFault::BreaksStreams);
     for number in 0..6 {
         let id = format!("s-{number}");
-        let stream = site.get(0, &id, Ask::Draft("m0"));
-        assert_eq!((stream.status, stream.body), (200, Some(whole_stream(&id))));
+        let stream = site.send(0, &id, RequestKind::Stream("m0"));
+        assert_eq!((stream.status, stream.body), (200, Some(expected_stream(&id))));
     }
 }
 
@@ -107,16 +107,16 @@
     site.models.push(("m3", 0.4));
     // The first of the two is selected, since both are idle. Its third event would come after 1.2 s, more
     // than twice the target latency of the first event.
-    site.add_paced_server("late-a", "drafts", &["m3"], Duration::from_millis(400));
+    site.add_server_with_interval("late-a", "drafts", &["m3"], Duration::from_millis(400));
     site.server("late-a").set_fault(BackendFault::BreaksStreams);
     site.add_server("late-b", "drafts", &["m3"]);
     site.write_config();
-    site.wait("both servers are known", |site| {
+    site.wait_until("both servers are known", |site| {
         let status = site.nodes[0].status();
         ["late-a", "late-b"].iter().all(|id| status.contains(id))
     });
-    let stream = site.get(0, "late", Ask::Draft("m3"));
-    assert_eq!((stream.status, stream.body), (200, Some(whole_stream("late"))));
+    let stream = site.send(0, "late", RequestKind::Stream("m3"));
+    assert_eq!((stream.status, stream.body), (200, Some(expected_stream("late"))));
     assert_eq!(site.server("late-a").runs_of("late"), 1);
 }
 
@@ -127,7 +127,7 @@
     site.add_server("lone", "drafts", &["m3"]);
     site.server("lone").set_fault(fault);
     site.write_config();
-    site.wait("the engine is known", |site| site.nodes[0].status().contains("lone"));
+    site.wait_until("the engine is known", |site| site.nodes[0].status().contains("lone"));
     site
 }
 
@@ -135,8 +135,8 @@
 fn stalled_stream_is_kept_open_if_no_other_server_can_resume_it() {
     let pause = Duration::from_millis(2_000);
     let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before: 3, pause });
-    let stream = site.get(0, "silent", Ask::Draft("m3"));
-    assert_eq!((stream.status, stream.body), (200, Some(whole_stream("silent"))));
+    let stream = site.send(0, "silent", RequestKind::Stream("m3"));
+    assert_eq!((stream.status, stream.body), (200, Some(expected_stream("silent"))));
     assert_eq!(site.runs_of("silent"), 1);
 }
 
@@ -145,8 +145,8 @@
     // More than half of the route's timeout, after which a request may be sent to another server.
     let pause = Duration::from_millis(2_500);
     let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before: 1, pause });
-    let stream = site.get(0, "slow", Ask::Draft("m3"));
-    assert_eq!((stream.status, stream.body), (200, Some(whole_stream("slow"))));
+    let stream = site.send(0, "slow", RequestKind::Stream("m3"));
+    assert_eq!((stream.status, stream.body), (200, Some(expected_stream("slow"))));
     assert_eq!(site.runs_of("slow"), 1);
 }
 
@@ -157,11 +157,11 @@
     let mut site = NodeSite::start(1);
     site.models.push(("m3", LOAD_S));
     site.write_config();
-    let in_force = format!("\"config\":{}", site.version);
-    site.wait("the model is known", |site| site.nodes[0].status().contains(&in_force));
+    let in_force = format!("\"config\":{}", site.config_version);
+    site.wait_until("the model is known", |site| site.nodes[0].status().contains(&in_force));
     let sent_at = Instant::now();
-    let stream = site.get(0, "waits", Ask::Draft("m3"));
-    assert_eq!((stream.status, stream.body), (200, Some(whole_stream("waits"))));
+    let stream = site.send(0, "waits", RequestKind::Stream("m3"));
+    assert_eq!((stream.status, stream.body), (200, Some(expected_stream("waits"))));
     assert!(sent_at.elapsed().as_secs_f64() >= LOAD_S);
 }
 
@@ -171,10 +171,12 @@
     /// for that.
     const MAX_RELOAD_TIME: Duration = Duration::from_millis(2_500);
     let mut site = NodeSite::start(1);
-    assert_eq!(site.get(0, "before", Ask::Draft("m0")).status, 200);
+    assert_eq!(site.send(0, "before", RequestKind::Stream("m0")).status, 200);
     site.restart_engines();
     let restarted_at = Instant::now();
-    site.wait("the model is back", |site| site.get(0, "after", Ask::Draft("m0")).status == 200);
+    site.wait_until("the model is back", |site| {
+        site.send(0, "after", RequestKind::Stream("m0")).status == 200
+    });
     assert!(restarted_at.elapsed() < MAX_RELOAD_TIME, "{:?}", restarted_at.elapsed());
     assert!(site.servers.iter().all(|server| server.overcommitted() == 0));
 }
@@ -189,8 +191,12 @@
         while Instant::now() < deadline {
             number += 1;
             let id = format!("o-{mode:?}-{number}");
-            assert_eq!(site.get(number % 2, &id, Ask::Lookup).status, 200, "{mode:?}");
-            assert_eq!(site.get(number % 2, &id, Ask::Draft("m0")).status, 200, "{mode:?}");
+            assert_eq!(site.send(number % 2, &id, RequestKind::Idempotent).status, 200, "{mode:?}");
+            assert_eq!(
+                site.send(number % 2, &id, RequestKind::Stream("m0")).status,
+                200,
+                "{mode:?}"
+            );
         }
         site.store.set_mode(StoreMode::Up);
     }
@@ -201,10 +207,10 @@
     let mut site = NodeSite::start(3);
     for _ in 0..3 {
         site.write_config();
-        if site.version == 3 {
+        if site.config_version == 3 {
             site.store.compact();
         }
-        let newest = format!("v{}", site.version);
+        let newest = format!("v{}", site.config_version);
         let in_force = |site: &NodeSite, node: usize| {
             let response = ureq::get(format!("http://{}/{newest}/x", site.nodes[node].callers))
                 .header("Host", "site.example")
@@ -213,7 +219,7 @@
             response.is_ok_and(|response| response.status() == 200)
         };
         for node in 0..3 {
-            site.wait("the newest route is served", |site| in_force(site, node));
+            site.wait_until("the newest route is served", |site| in_force(site, node));
         }
         assert!((0..3).all(|node| in_force(&site, node)));
     }
@@ -227,7 +233,7 @@
     std::thread::sleep(Duration::from_millis(800));
     for number in 0..12 {
         let id = format!("g-{number}");
-        assert_eq!(site.get(number % 2, &id, Ask::Lookup).status, 200);
+        assert_eq!(site.send(number % 2, &id, RequestKind::Idempotent).status, 200);
         assert_eq!(site.server("plain-2").runs_of(&id), 1);
     }
 }
@@ -238,35 +244,35 @@
     site.store.write("servers/ghost", &serde_json::json!({ "service": 7 }));
     site.store.write("servers/ghost-2", &serde_json::json!("no entry at all"));
     std::thread::sleep(Duration::from_millis(400));
-    assert_eq!(site.get(0, "after-ghosts", Ask::Lookup).status, 200);
+    assert_eq!(site.send(0, "after-ghosts", RequestKind::Idempotent).status, 200);
 }
 
 #[test]
 fn a_stopping_node_leaves_the_directory_answers_and_finishes_its_streams() {
     let mut site = NodeSite::start(3);
-    site.wait("all nodes are named", |site| site.nodes[0].addresses().len() == 3);
+    site.wait_until("all nodes are named", |site| site.nodes[0].addresses().len() == 3);
     let callers = site.nodes[2].callers.clone();
     std::thread::scope(|scope| {
-        let stream = scope.spawn(|| site.get(2, "last", Ask::Draft("m0")));
+        let stream = scope.spawn(|| site.send(2, "last", RequestKind::Stream("m0")));
         std::thread::sleep(Duration::from_millis(30));
         site.nodes[2].signal(Signal::TERM);
         let response = stream.join().expect("the caller's thread ends");
-        assert_eq!(response.body, Some(whole_stream("last")));
+        assert_eq!(response.body, Some(expected_stream("last")));
     });
-    site.wait("the stopping node is no longer named", |site| {
+    site.wait_until("the stopping node is no longer named", |site| {
         (0..2).all(|node| {
             let named = site.nodes[node].addresses();
             !named.is_empty() && !named.contains(&callers)
         })
     });
-    let exit_status = site.nodes[2].wait();
+    let exit_status = site.nodes[2].wait_for_exit();
     assert!(exit_status.is_some_and(|status| status.success()));
 }
 
 #[test]
 fn a_new_duty_holder_waits_until_the_orders_of_the_former_one_are_a_turn_ago() {
     let mut site = NodeSite::start(2);
-    assert_eq!(site.get(0, "first", Ask::Draft("m0/a1")).status, 200);
+    assert_eq!(site.send(0, "first", RequestKind::Stream("m0/a1")).status, 200);
     let all_orders = |site: &NodeSite| {
         let mut orders: Vec<_> = site.servers.iter().flat_map(|server| server.orders()).collect();
         orders.sort_by_key(|order| order.at);
@@ -282,22 +288,22 @@
     // The former holder is frozen until its lease has expired, and continues while the other node gives
     // orders.
     site.nodes[former].signal(Signal::STOP);
-    site.wait("the other node gives orders", |site| {
+    site.wait_until("the other node gives orders", |site| {
         let id = format!("second-{}", all_orders(site).len());
-        site.get(other, &id, Ask::Draft("m0/a2")).status == 200
+        site.send(other, &id, RequestKind::Stream("m0/a2")).status == 200
             && all_orders(site).iter().any(|order| order.holder != former_holder)
     });
     site.nodes[former].signal(Signal::CONT);
     for round in 0..5 {
-        let _ = site.get(former, &format!("third-{round}"), Ask::Draft("m0/a3"));
+        let _ = site.send(former, &format!("third-{round}"), RequestKind::Stream("m0/a3"));
     }
     let orders = all_orders(&site);
     for pair in orders.windows(2).filter(|pair| pair[0].holder != pair[1].holder) {
-        assert!(pair[1].at - pair[0].at >= Duration::from_millis(node_site::TURN_MS));
+        assert!(pair[1].at - pair[0].at >= Duration::from_millis(node_site::ORDER_TURN_MS));
         assert!(pair[1].fencing_token > pair[0].fencing_token);
     }
     site.nodes[former].signal(Signal::KILL);
-    let _ = site.nodes[former].wait();
+    let _ = site.nodes[former].wait_for_exit();
 }
 
 #[test]
@@ -305,13 +311,13 @@
     let mut site = NodeSite::start(2);
     site.store.set_mode(StoreMode::LosesAnswers);
     site.nodes[0].signal(Signal::KILL);
-    let _ = site.nodes[0].wait();
+    let _ = site.nodes[0].wait_for_exit();
     std::thread::sleep(Duration::from_millis(2_500));
     site.store.set_mode(StoreMode::Up);
-    site.wait("an adapter can be loaded again", |site| {
-        site.get(1, "after-loss", Ask::Draft("m0/a1")).status == 200
+    site.wait_until("an adapter can be loaded again", |site| {
+        site.send(1, "after-loss", RequestKind::Stream("m0/a1")).status == 200
     });
-    assert_eq!(site.duty_holders().len(), 1);
+    assert_eq!(site.duty_keys().len(), 1);
 }
 
 #[test]
