--- a/savoryport/src/node/server_selection.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -223,7 +223,10 @@
         Selection::Selected(selected, choice.candidate.adapter_orders > 0)
     }
 
-    fn ready_servers<'a>(&'a self, view: &'a FleetView) -> impl Iterator<Item = &'a Arc<BackendServer>> {
+    fn ready_servers<'a>(
+        &'a self,
+        view: &'a FleetView,
+    ) -> impl Iterator<Item = &'a Arc<BackendServer>> {
         view.servers.values().filter(|server| server.service == self.service && server.is_ready())
     }
 
--- a/savoryport/tests/node_parts.rs
+++ b/savoryport/tests/node_parts.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn only_shared_prefixes_are_announced_to_other_failure_domains_and_only_once() {
+fn only_shared_prefixes_are_announced_to_other_domains_once_per_period() {
     let (mut log, now) = (PromptLog::default(), Instant::now());
     log.add_local(&"a".into(), &[prompt(1, 10), prompt(1, 11), prompt(2, 12)], now);
     let (position, announced) = log.shared_prefixes_since(0);
