--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -12,7 +12,7 @@
 use savoryport_core::ledger::ServerRecord;
 use savoryport_core::replica::Replica;
 
-use site::{Site, TABLE, kill, read_stream, signal, tokens_of, wait_for};
+use site::{Site, TABLE, expected_tokens, kill, read_stream, signal, wait_for};
 
 /// The users' bound for a change of the table.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(9);
@@ -44,7 +44,7 @@
     }
     site.fleet.kv.set_faults(|faults| faults.down = true);
     let streamed = read_stream(site.stream(0, "quick", "without control", 10));
-    assert_eq!(streamed.tokens, tokens_of("without control", 10));
+    assert_eq!(streamed.tokens, expected_tokens("without control", 10));
     assert!(
         (0..3).all(|at| ["quick", "draft", "review", "shop"].iter().all(|m| answers(&site, at, m)))
     );
--- a/savoryport/tests/requests.rs
+++ b/savoryport/tests/requests.rs
@@ -9,7 +9,7 @@
 use rustix::process::Signal;
 use savoryport_core::table::parse_csv;
 
-use site::{Site, get, kill, post, read_stream, signal, tokens_of, wait_for, wait_for_end};
+use site::{Site, expected_tokens, get, kill, post, read_stream, signal, wait_for, wait_for_end};
 
 const TICKET: &str = "x-savoryport-ticket";
 const KEY: &str = "idempotency-key";
@@ -35,7 +35,7 @@
         engine.set_faults(|faults| faults.break_streams = 1);
     }
     let streamed = read_stream(site.stream(0, "quick", "broken in the middle", 12));
-    assert_eq!(streamed.tokens, tokens_of("broken in the middle", 12));
+    assert_eq!(streamed.tokens, expected_tokens("broken in the middle", 12));
     assert_eq!(streamed.outcome, "done");
 }
 
@@ -47,7 +47,7 @@
     first = first.replace("data: ", "");
     site.engines.iter().for_each(savoryport_standin::proxy::Proxy::silence_open);
     let streamed = read_stream(lines);
-    let expected = tokens_of("gone silent", 40);
+    let expected = expected_tokens("gone silent", 40);
     assert!(first.contains(&expected[0]));
     assert_eq!(streamed.tokens, expected[1..]);
     assert_eq!(streamed.outcome, "done");
@@ -68,7 +68,7 @@
                     return;
                 }
                 let streamed = read_stream(site.stream(caller % 3, "quick", &prompt, 10));
-                assert_eq!(streamed.tokens, tokens_of(&prompt, 10));
+                assert_eq!(streamed.tokens, expected_tokens(&prompt, 10));
             });
         }
     });
@@ -239,7 +239,7 @@
     let third = site.entry(2).to_owned();
     assert!(refused.body.contains(&other) || refused.body.contains(&third), "{}", refused.body);
     let streamed = read_stream(lines);
-    assert_eq!(streamed.tokens, tokens_of("through the stop", 60)[1..]);
+    assert_eq!(streamed.tokens, expected_tokens("through the stop", 60)[1..]);
     assert_eq!(streamed.outcome, "done");
     assert!(wait_for_end(&mut site.nodes[0].entry, Duration::from_secs(5)).success());
 }
--- a/savoryport/tests/site/mod.rs
+++ b/savoryport/tests/site/mod.rs
@@ -381,7 +381,7 @@
 }
 
 /// Returns the tokens that the stand-in makes of a prompt.
-pub fn tokens_of(prompt: &str, count: u32) -> Vec<String> {
+pub fn expected_tokens(prompt: &str, count: u32) -> Vec<String> {
     let tag: String = prompt.chars().skip(prompt.chars().count().saturating_sub(12)).collect();
     (0..count).map(|at| format!(" {tag}/{at}")).collect()
 }
