--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -110,7 +110,7 @@
     let site = Site::start();
     let began = Instant::now();
     site.apply(&larger_table(), false).unwrap();
-    let everywhere = || (0..3).all(|at| site.version_at(at) == 2);
+    let everywhere = || (0..3).all(|at| site.entry_table_version(at) == 2);
     wait_for("version 2 everywhere", IN_FORCE_WITHIN, everywhere);
     println!("in force everywhere after {:?}", began.elapsed());
 }
@@ -123,8 +123,8 @@
     wait_for("the second VM to follow the first", Duration::from_secs(12), follows);
     signal(site.nodes[0].control.as_ref().unwrap(), Signal::STOP);
     site.apply(&larger_table(), false).unwrap();
-    wait_for("version 2 at the follower", IN_FORCE_WITHIN, || site.version_at(1) == 2);
-    wait_for("version 2 beside the reader", IN_FORCE_WITHIN, || site.version_at(0) == 2);
+    wait_for("version 2 at the follower", IN_FORCE_WITHIN, || site.entry_table_version(1) == 2);
+    wait_for("version 2 beside the reader", IN_FORCE_WITHIN, || site.entry_table_version(0) == 2);
     signal(site.nodes[0].control.as_ref().unwrap(), Signal::CONT);
 }
 
@@ -138,13 +138,15 @@
         kill(&mut site.nodes[at].control);
         site.start_control(at);
         site.start_entry(at);
-        wait_for("the table of a peer", Duration::from_secs(8), || site.version_at(at) == 1);
+        wait_for("the table of a peer", Duration::from_secs(8), || {
+            site.entry_table_version(at) == 1
+        });
         site.wait_until_ready(at);
     }
     site.fleet.kv.set_faults(|faults| faults.down = false);
     site.apply(&larger_table(), false).unwrap();
     let everywhere = || {
-        let versions = [0, 1, 2].map(|at| site.version_at(at));
+        let versions = [0, 1, 2].map(|at| site.entry_table_version(at));
         assert!(versions.iter().all(|version| *version >= 1), "{versions:?}");
         versions == [2, 2, 2]
     };
@@ -159,11 +161,11 @@
     assert!(answers(&site, 2, "quick"));
     site.apply(&larger_table(), false).unwrap();
     // Peers bring the table to the other side of the cut.
-    wait_for("version 2 beyond the cut", IN_FORCE_WITHIN, || site.version_at(2) == 2);
+    wait_for("version 2 beyond the cut", IN_FORCE_WITHIN, || site.entry_table_version(2) == 2);
     site.kv[2].set_faults(|faults| faults.refuse = false);
     let third = format!("{}model,more,,5000,1,normal,8,1800,70,1,yes\n", larger_table());
     site.apply(&third, false).unwrap();
-    wait_for("version 3 after the cut", IN_FORCE_WITHIN, || site.version_at(2) == 3);
+    wait_for("version 3 after the cut", IN_FORCE_WITHIN, || site.entry_table_version(2) == 3);
 }
 
 #[test]
@@ -171,7 +173,7 @@
     let site = Site::start();
     site.kv.iter().for_each(savoryport_standin::proxy::Proxy::silence_open);
     site.apply(&larger_table(), false).unwrap();
-    let everywhere = || (0..3).all(|at| site.version_at(at) == 2);
+    let everywhere = || (0..3).all(|at| site.entry_table_version(at) == 2);
     wait_for("version 2 everywhere", IN_FORCE_WITHIN, everywhere);
 }
 
--- a/savoryport/tests/requests.rs
+++ b/savoryport/tests/requests.rs
@@ -218,7 +218,7 @@
         assert_eq!(call.join().unwrap().outcome, "unknown");
     });
     // The ticket also holds after the service became repeatable.
-    wait_for("the change", Duration::from_secs(9), || site.version_at(0) == 2);
+    wait_for("the change", Duration::from_secs(9), || site.entry_table_version(0) == 2);
     assert_eq!(site.capture(0, (TICKET, &ticket)).unwrap().outcome, "unknown");
     assert_eq!(site.executions(&ticket), 1);
 }
--- a/savoryport/tests/site/mod.rs
+++ b/savoryport/tests/site/mod.rs
@@ -241,7 +241,7 @@
     }
 
     /// Returns the table's version that a node's entry has in force.
-    pub fn version_at(&self, at: usize) -> u64 {
+    pub fn entry_table_version(&self, at: usize) -> u64 {
         let address = self.nodes[at].settings["entry_metrics_listen"].as_str().unwrap();
         let Ok(answer) = get(address, "/status") else { return 0 };
         let status: Value = serde_json::from_str(&answer.body).unwrap_or_default();
