--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -156,13 +156,13 @@
 #[test]
 fn a_node_cut_off_from_the_service_follows_again_after_the_cut() {
     let site = Site::start();
-    site.kv[2].set_faults(|faults| faults.refuse = true);
-    site.kv[2].cut();
+    site.kv_proxies[2].set_faults(|faults| faults.refuse = true);
+    site.kv_proxies[2].cut();
     assert!(answers(&site, 2, "quick"));
     site.apply(&larger_table(), false).unwrap();
     // Peers bring the table to the other side of the cut.
     wait_for("version 2 beyond the cut", IN_FORCE_WITHIN, || site.entry_table_version(2) == 2);
-    site.kv[2].set_faults(|faults| faults.refuse = false);
+    site.kv_proxies[2].set_faults(|faults| faults.refuse = false);
     let third = format!("{}model,more,,5000,1,normal,8,1800,70,1,yes\n", larger_table());
     site.apply(&third, false).unwrap();
     wait_for("version 3 after the cut", IN_FORCE_WITHIN, || site.entry_table_version(2) == 3);
@@ -171,7 +171,7 @@
 #[test]
 fn a_service_whose_connections_fell_silent_is_asked_anew() {
     let site = Site::start();
-    site.kv.iter().for_each(savoryport_standin::proxy::Proxy::silence_open);
+    site.kv_proxies.iter().for_each(savoryport_standin::proxy::Proxy::silence_open);
     site.apply(&larger_table(), false).unwrap();
     let everywhere = || (0..3).all(|at| site.entry_table_version(at) == 2);
     wait_for("version 2 everywhere", IN_FORCE_WITHIN, everywhere);
@@ -284,8 +284,8 @@
 fn models_of_a_server_that_dies_answer_again() {
     let site = Site::start();
     let dead = site.engines_with("draft")[0];
-    site.engines[dead].set_faults(|faults| faults.refuse = true);
-    site.engines[dead].cut();
+    site.engine_proxies[dead].set_faults(|faults| faults.refuse = true);
+    site.engine_proxies[dead].cut();
     // Models with a second copy never stop.
     assert!(answers(&site, 0, "quick"));
     let all = || ["quick", "draft", "review", "shop"].iter().all(|model| answers(&site, 0, model));
@@ -306,8 +306,8 @@
 fn a_lost_failure_domain_leaves_every_model_reachable() {
     let mut site = Site::start();
     for engine in [2, 3] {
-        site.engines[engine].set_faults(|faults| faults.refuse = true);
-        site.engines[engine].cut();
+        site.engine_proxies[engine].set_faults(|faults| faults.refuse = true);
+        site.engine_proxies[engine].cut();
     }
     kill(&mut site.nodes[2].entry);
     kill(&mut site.nodes[2].control);
--- a/savoryport/tests/site/mod.rs
+++ b/savoryport/tests/site/mod.rs
@@ -49,11 +49,11 @@
     /// The list with the proxies' addresses, which the daemons see.
     pub vms: VmListStandin,
     /// A proxy before each engine.
-    pub engines: Vec<Proxy>,
+    pub engine_proxies: Vec<Proxy>,
     /// A proxy before each plain service.
-    pub services: Vec<Proxy>,
+    pub service_proxies: Vec<Proxy>,
     /// A proxy before the key-value service, for each node.
-    pub kv: Vec<Proxy>,
+    pub kv_proxies: Vec<Proxy>,
     pub nodes: Vec<Node>,
     folder: TempDir,
 }
@@ -97,16 +97,17 @@
             ..EngineConfig::default()
         });
         let mut list = fleet.list.clone();
-        let (mut engines, mut services) = (Vec::new(), Vec::new());
+        let (mut engine_proxies, mut service_proxies) = (Vec::new(), Vec::new());
         for vm in list.vms.iter_mut().filter(|vm| vm.role != VmRole::Entry) {
             let proxy = Proxy::start("127.0.0.1:0", &vm.address);
             vm.address = proxy.address().into();
-            let proxies = if vm.role == VmRole::Engine { &mut engines } else { &mut services };
+            let proxies =
+                if vm.role == VmRole::Engine { &mut engine_proxies } else { &mut service_proxies };
             proxies.push(proxy);
         }
         let vms = VmListStandin::start("127.0.0.1:0", list, Duration::ZERO);
         let folder = tempfile::tempdir().unwrap();
-        let kv: Vec<Proxy> = fleet
+        let kv_proxies: Vec<Proxy> = fleet
             .entries()
             .iter()
             .map(|_| Proxy::start("127.0.0.1:0", fleet.kv.address()))
@@ -114,10 +115,10 @@
         let nodes = fleet
             .entries()
             .into_iter()
-            .zip(&kv)
-            .map(|(vm, kv)| {
+            .zip(&kv_proxies)
+            .map(|(vm, kv_proxy)| {
                 let mut settings = fleet.settings(vm);
-                settings["key_value"] = json!(kv.address());
+                settings["key_value"] = json!(kv_proxy.address());
                 settings["vm_list"] = json!(vms.address());
                 settings["lease_ttl_ms"] = json!(2_000);
                 settings["plan_period_ms"] = json!(200);
@@ -131,7 +132,7 @@
                 Node { vm: vm.clone(), settings, settings_file, entry: None, control: None }
             })
             .collect();
-        Self { fleet, vms, engines, services, kv, nodes, folder }
+        Self { fleet, vms, engine_proxies, service_proxies, kv_proxies, nodes, folder }
     }
 
     pub fn start_entry(&mut self, at: usize) {
@@ -229,7 +230,7 @@
 
     pub fn engines_with(&self, model: &str) -> Vec<usize> {
         let has = |engine: &EngineStandin| engine.loaded().contains(model);
-        (0..self.engines.len()).filter(|at| has(&self.fleet.engines[*at])).collect()
+        (0..self.engine_proxies.len()).filter(|at| has(&self.fleet.engines[*at])).collect()
     }
 
     /// Returns whether a node's control process reads the platform itself.
