--- a/savoryport/tests/commands.rs
+++ b/savoryport/tests/commands.rs
@@ -74,7 +74,7 @@
 #[test]
 fn status_and_explain_show_the_fleet() {
     let site = Site::start();
-    let vm_list = site.vms.address().to_owned();
+    let vm_list = site.vm_list.address().to_owned();
     let platform = ["--key-value", site.fleet.kv.address(), "--vm-list", &vm_list];
     let ask = |words: &[&str]| {
         let output = run(&[&platform, words].concat());
--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -265,7 +265,7 @@
             drain.args(["--key-value", site.fleet.kv.address(), "drain", &name]);
             assert!(drain.status().unwrap().success());
         } else {
-            site.vms.change(|list| {
+            site.vm_list.change(|list| {
                 list.vms.iter_mut().for_each(|vm| vm.leaving |= *vm.name == *name);
             });
         }
--- a/savoryport/tests/requests.rs
+++ b/savoryport/tests/requests.rs
@@ -248,7 +248,7 @@
 fn an_unreachable_service_leaves_the_request_not_run() {
     let site = Site::start();
     // Nobody listens at the services' new addresses.
-    site.vms.change(|list| {
+    site.vm_list.change(|list| {
         for vm in list.vms.iter_mut().filter(|vm| !vm.services.is_empty()) {
             vm.address = savoryport_standin::fleet::free_address().into();
         }
--- a/savoryport/tests/site/mod.rs
+++ b/savoryport/tests/site/mod.rs
@@ -47,7 +47,7 @@
 pub struct Site {
     pub fleet: LocalFleet,
     /// The list with the proxies' addresses, which the daemons see.
-    pub vms: VmListStandin,
+    pub vm_list: VmListStandin,
     /// A proxy before each engine.
     pub engine_proxies: Vec<Proxy>,
     /// A proxy before each plain service.
@@ -105,7 +105,7 @@
                 if vm.role == VmRole::Engine { &mut engine_proxies } else { &mut service_proxies };
             proxies.push(proxy);
         }
-        let vms = VmListStandin::start("127.0.0.1:0", list, Duration::ZERO);
+        let vm_list = VmListStandin::start("127.0.0.1:0", list, Duration::ZERO);
         let folder = tempfile::tempdir().unwrap();
         let kv_proxies: Vec<Proxy> = fleet
             .entries()
@@ -119,7 +119,7 @@
             .map(|(vm, kv_proxy)| {
                 let mut settings = fleet.settings(vm);
                 settings["key_value"] = json!(kv_proxy.address());
-                settings["vm_list"] = json!(vms.address());
+                settings["vm_list"] = json!(vm_list.address());
                 settings["lease_ttl_ms"] = json!(2_000);
                 settings["plan_period_ms"] = json!(200);
                 settings["steward_period_ms"] = json!(200);
@@ -132,7 +132,7 @@
                 Node { vm: vm.clone(), settings, settings_file, entry: None, control: None }
             })
             .collect();
-        Self { fleet, vms, engine_proxies, service_proxies, kv_proxies, nodes, folder }
+        Self { fleet, vm_list, engine_proxies, service_proxies, kv_proxies, nodes, folder }
     }
 
     pub fn start_entry(&mut self, at: usize) {
@@ -155,7 +155,7 @@
     pub fn options(&self) -> Options {
         Options {
             key_value: self.fleet.kv.address().to_owned(),
-            vm_list: Some(self.vms.address().to_owned()),
+            vm_list: Some(self.vm_list.address().to_owned()),
             timeout: Duration::from_millis(500),
             ..Options::default()
         }
