--- a/savoryport/tests/commands.rs
+++ b/savoryport/tests/commands.rs
@@ -106,7 +106,7 @@
 fn the_operators_page_works_as_written() {
     let site = Site::start();
     let settings = site.nodes[0].settings_file.to_str().unwrap().to_owned();
-    let file = site.folder().join("edited.csv");
+    let file = site.temp_dir().join("edited.csv");
     let path = file.to_str().unwrap();
     let ask = |words: &[&str]| {
         let output = run(&[&["--settings", &settings], words].concat());
--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -181,7 +181,7 @@
 fn of_two_operators_at_once_one_is_refused_and_told_the_rows() {
     let site = Site::start();
     let edit = |name: &str, weight: &str| {
-        let path = site.folder().join(format!("{name}.csv"));
+        let path = site.temp_dir().join(format!("{name}.csv"));
         table::get(&site.options(), Some(&path)).unwrap();
         let text = std::fs::read_to_string(&path).unwrap();
         std::fs::write(&path, text.replace("30000,2,urgent", weight)).unwrap();
@@ -202,7 +202,7 @@
 #[test]
 fn operators_who_change_other_rows_may_merge() {
     let site = Site::start();
-    let path = site.folder().join("mine.csv");
+    let path = site.temp_dir().join("mine.csv");
     table::get(&site.options(), Some(&path)).unwrap();
     site.apply(&larger_table(), false).unwrap();
     let text = std::fs::read_to_string(&path).unwrap();
--- a/savoryport/tests/site/mod.rs
+++ b/savoryport/tests/site/mod.rs
@@ -55,7 +55,7 @@
     /// A proxy before the key-value service, for each node.
     pub kv_proxies: Vec<Proxy>,
     pub nodes: Vec<Node>,
-    folder: TempDir,
+    temp_dir: TempDir,
 }
 
 /// An answer read whole.
@@ -106,7 +106,7 @@
             proxies.push(proxy);
         }
         let vm_list = VmListStandin::start("127.0.0.1:0", list, Duration::ZERO);
-        let folder = tempfile::tempdir().unwrap();
+        let temp_dir = tempfile::tempdir().unwrap();
         let kv_proxies: Vec<Proxy> = fleet
             .entries()
             .iter()
@@ -128,11 +128,11 @@
                 settings["stream_stall_ms"] = json!(700);
                 settings["service_timeout_ms"] = json!(1_000);
                 settings["drain_timeout_ms"] = json!(5_000);
-                let settings_file = folder.path().join(format!("{}.json", vm.name));
+                let settings_file = temp_dir.path().join(format!("{}.json", vm.name));
                 Node { vm: vm.clone(), settings, settings_file, entry: None, control: None }
             })
             .collect();
-        Self { fleet, vm_list, engine_proxies, service_proxies, kv_proxies, nodes, folder }
+        Self { fleet, vm_list, engine_proxies, service_proxies, kv_proxies, nodes, temp_dir }
     }
 
     pub fn start_entry(&mut self, at: usize) {
@@ -146,7 +146,7 @@
 
     /// Puts a table in force.
     pub fn apply(&self, text: &str, first: bool) -> Result<String, savoryport::cli::CliError> {
-        let path = self.folder.path().join("table.csv");
+        let path = self.temp_dir.path().join("table.csv");
         std::fs::write(&path, text).unwrap();
         table::apply(&Options { first, ..self.options() }, &path)
     }
@@ -161,8 +161,8 @@
         }
     }
 
-    pub fn folder(&self) -> &std::path::Path {
-        self.folder.path()
+    pub fn temp_dir(&self) -> &std::path::Path {
+        self.temp_dir.path()
     }
 
     /// Returns the address of a node's entry.
