--- a/savoryport/src/entry/dispatcher.rs
+++ b/savoryport/src/entry/dispatcher.rs
@@ -1,7 +1,7 @@
-//! The task that owns the entry's decisions.
+//! The task that makes the entry's dispatch decisions.
 //!
-//! Requests send it messages and wait for its word; it alone holds the queues, the limits and the
-//! ticket book, so none of them needs a lock.
+//! Requests send messages to the task and wait for its replies. Only the task accesses the queues,
+//! the concurrency limits and the tickets, so none of them needs a lock.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -23,138 +23,150 @@
 use crate::keys;
 use crate::settings::Settings;
 
-/// How often deadlines are looked at; a refusal leaves within this time of its cause.
+/// The interval between two checks of the deadlines, which is also the longest delay of a refusal
+/// after its cause.
 const TICK: Duration = Duration::from_millis(5);
 
-/// How long a server is passed over after no connection came to stand.
+/// How long a server gets no requests after a connection attempt failed.
 const SUSPENSION: Duration = Duration::from_secs(1);
 
-/// How long a server that said it drains is passed over before it is asked again.
+/// How long a server gets no requests after it reported that it is draining.
 const DRAIN_SUSPENSION: Duration = Duration::from_secs(30);
 
-/// Retries as a share of successes.
+/// The number of retries that each completed request adds to the retry budget.
 const RETRY_SHARE: f64 = 0.1;
 
-/// Retries at once.
+/// The maximum of the retry budget, which is the number of retries that may happen at once.
 const RETRY_BURST: f64 = 50.0;
 
-/// Where a request goes, or that it goes nowhere.
+/// The decision on a submitted request.
 #[derive(Debug, Clone)]
-pub(super) enum Verdict {
-    /// To this server.
-    Start(Slot),
-    /// Nowhere; the caller is told at once.
+pub(super) enum DispatchDecision {
+    /// Send the request to this server.
+    Start(AssignedServer),
+    /// Refuse the request for this reason; the caller may retry after the delay.
     Refuse(RefusalCause, Duration),
 }
 
-/// A server that a request may be sent to, with its address.
+/// The server that a request is assigned to.
 #[derive(Debug, Clone)]
-pub(super) struct Slot {
-    pub(super) server: Name,
+pub(super) struct AssignedServer {
+    pub(super) name: Name,
     pub(super) address: Name,
 }
 
+/// A message from a request to the task.
 enum Message {
-    Submit(Request, oneshot::Sender<Verdict>),
+    Submit(Request, oneshot::Sender<DispatchDecision>),
     Cancel(RequestId),
+    /// The server, the item, the rank and the measurements of a request that has ended.
     Finish(Name, Name, Rank, Sample),
     Suspend(Name, Duration),
     TakeRetry(oneshot::Sender<bool>),
     IssueTicket(oneshot::Sender<Ticket>),
     AdmitTicket(Ticket, oneshot::Sender<TicketAdmission>),
-    GiveBackTicket(Ticket),
+    ReleaseTicket(Ticket),
 }
 
-/// The way to the task.
+/// A handle by which requests communicate with the task.
 #[derive(Clone)]
 pub(super) struct DispatcherHandle {
     tx: mpsc::UnboundedSender<Message>,
 }
 
-/// A request that is under way on a server; the server's slot is free again when this is dropped.
+/// A request in progress on a server. Dropping it reports the sample and frees the server's slot.
 pub(super) struct InFlight {
     handle: DispatcherHandle,
-    pub(super) slot: Slot,
+    pub(super) server: AssignedServer,
     item: Name,
     rank: Rank,
     pub(super) sample: Sample,
 }
 
-/// Withdraws a waiting request whose caller has left.
-struct Waiting {
+/// Cancels a waiting request when it is dropped, as happens if the caller disconnects.
+struct CancelOnDrop {
     handle: DispatcherHandle,
+    /// The request, or `None` once there is a decision on it.
     id: Option<RequestId>,
 }
 
 impl DispatcherHandle {
-    /// Waits for the verdict on a request.
-    pub(super) async fn submit(&self, req: Request, sample: Sample) -> Result<InFlight, Verdict> {
+    /// Submits a request and waits until it is assigned to a server or refused. An error is always
+    /// [`DispatchDecision::Refuse`].
+    pub(super) async fn submit(
+        &self,
+        req: Request,
+        sample: Sample,
+    ) -> Result<InFlight, DispatchDecision> {
         let (tx, rx) = oneshot::channel();
         let (id, item, rank) = (req.id, req.item.clone(), req.rank);
-        let mut waiting = Waiting { handle: self.clone(), id: Some(id) };
+        let mut cancel_guard = CancelOnDrop { handle: self.clone(), id: Some(id) };
         self.send(Message::Submit(req, tx));
-        let verdict = rx.await;
-        waiting.id = None;
-        match verdict {
-            Ok(Verdict::Start(slot)) => {
-                Ok(InFlight { handle: self.clone(), slot, item, rank, sample })
+        let decision = rx.await;
+        cancel_guard.id = None;
+        match decision {
+            Ok(DispatchDecision::Start(server)) => {
+                Ok(InFlight { handle: self.clone(), server, item, rank, sample })
             }
             Ok(refusal) => Err(refusal),
-            Err(_) => Err(Verdict::Refuse(RefusalCause::NotResident, Duration::from_secs(1))),
+            Err(_) => {
+                Err(DispatchDecision::Refuse(RefusalCause::NotResident, Duration::from_secs(1)))
+            }
         }
     }
 
-    /// Passes over a server to which no connection came to stand.
+    /// Suspends a server after a connection attempt failed.
     pub(super) fn suspend(&self, server: &Name) {
         self.send(Message::Suspend(server.clone(), SUSPENSION));
     }
 
-    /// Passes over a server that said it drains.
+    /// Suspends a server that reported that it is draining.
     pub(super) fn suspend_draining(&self, server: &Name) {
         self.send(Message::Suspend(server.clone(), DRAIN_SUSPENSION));
     }
 
-    /// Asks whether the budget allows a retry.
-    pub(super) async fn take_retry(&self) -> bool {
-        self.ask(Message::TakeRetry).await.unwrap_or(false)
+    /// Takes a retry from the budget and returns whether there was one left.
+    pub(super) async fn try_take_retry(&self) -> bool {
+        self.call(Message::TakeRetry).await.unwrap_or(false)
     }
 
-    /// Asks for a ticket; `None` while the entry stops.
+    /// Issues a ticket; returns `None` if the task has ended.
     pub(super) async fn issue_ticket(&self) -> Option<Ticket> {
-        self.ask(Message::IssueTicket).await
+        self.call(Message::IssueTicket).await
     }
 
-    /// Asks whether the request of a ticket may start.
+    /// Decides whether a request with a ticket may start.
     pub(super) async fn admit_ticket(&self, ticket: Ticket) -> TicketAdmission {
-        self.ask(|tx| Message::AdmitTicket(ticket, tx)).await.unwrap_or(TicketAdmission::Full)
+        self.call(|tx| Message::AdmitTicket(ticket, tx)).await.unwrap_or(TicketAdmission::Full)
     }
 
-    /// Gives back a ticket whose request certainly did not run.
-    pub(super) fn give_back_ticket(&self, ticket: &Ticket) {
-        self.send(Message::GiveBackTicket(ticket.clone()));
+    /// Makes a ticket usable again after its request certainly did not run.
+    pub(super) fn release_ticket(&self, ticket: &Ticket) {
+        self.send(Message::ReleaseTicket(ticket.clone()));
     }
 
-    async fn ask<T>(&self, message: impl FnOnce(oneshot::Sender<T>) -> Message) -> Option<T> {
+    /// Sends a message and returns the reply, or `None` if the task has ended.
+    async fn call<T>(&self, message: impl FnOnce(oneshot::Sender<T>) -> Message) -> Option<T> {
         let (tx, rx) = oneshot::channel();
         self.send(message(tx));
         rx.await.ok()
     }
 
     fn send(&self, message: Message) {
-        // The task outlives every request; only the last moments of a stop find it gone.
+        // The task outlives the requests, except those cut off at the end of the drain timeout.
         let _ = self.tx.send(message);
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        let (server, rank, sample) = (self.slot.server.clone(), self.rank, self.sample);
+        let (server, rank, sample) = (self.server.name.clone(), self.rank, self.sample);
         let item = self.item.clone();
         self.handle.send(Message::Finish(server, item, rank, sample));
     }
 }
 
-impl Drop for Waiting {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         if let Some(id) = self.id {
             self.handle.send(Message::Cancel(id));
@@ -162,25 +174,26 @@
     }
 }
 
-/// A request that waits for its verdict.
-struct Waiter {
+/// A submitted request without a decision.
+struct WaitingRequest {
     item: Name,
     rank: Rank,
-    tx: oneshot::Sender<Verdict>,
+    tx: oneshot::Sender<DispatchDecision>,
 }
 
 struct Dispatcher {
     dispatch: Dispatch,
-    book: TicketIssuer,
-    budget: RetryBudget,
+    tickets: TicketIssuer,
+    retry_budget: RetryBudget,
     demand: Demand,
     clock: Arc<dyn Clock>,
     fleet: watch::Receiver<Arc<Replica>>,
-    waiting: HashMap<RequestId, Waiter>,
+    waiting: HashMap<RequestId, WaitingRequest>,
+    /// The address of each server, by name.
     addresses: HashMap<Name, Name>,
 }
 
-/// Starts the task.
+/// Starts the dispatcher task.
 pub(super) fn start(
     settings: &Settings,
     incarnation: u64,
@@ -193,8 +206,8 @@
     let epoch_length = Duration::from_millis(settings.ticket_epoch_ms);
     let dispatcher = Dispatcher {
         dispatch: Dispatch::new(settings.dispatch()),
-        book: TicketIssuer::new(settings.vm.clone(), incarnation, epoch_length, clock.now()),
-        budget: RetryBudget::new(RETRY_SHARE, RETRY_BURST),
+        tickets: TicketIssuer::new(settings.vm.clone(), incarnation, epoch_length, clock.now()),
+        retry_budget: RetryBudget::new(RETRY_SHARE, RETRY_BURST),
         demand,
         clock,
         fleet,
@@ -215,10 +228,10 @@
                     Some(message) => self.on_message(message),
                     None => return,
                 },
-                _ = self.fleet.changed() => self.on_fleet(),
+                _ = self.fleet.changed() => self.on_fleet_change(),
                 _ = tick.tick() => {
                     let actions = self.dispatch.tick(self.clock.now());
-                    self.carry_out(actions);
+                    self.apply_actions(actions);
                 }
             }
         }
@@ -234,54 +247,56 @@
             }
             Message::Finish(server, item, rank, sample) => {
                 if sample.end == RequestEnd::Completed {
-                    self.budget.on_success();
-                    self.demand.note_length(rank, sample.total);
+                    self.retry_budget.on_success();
+                    self.demand.record_duration(rank, sample.total);
                 }
                 let actions = self.dispatch.finish(&server, &item, rank, &sample, now);
-                self.carry_out(actions);
+                self.apply_actions(actions);
             }
             Message::Suspend(server, time) => self.dispatch.suspend(&server, now + time),
-            Message::TakeRetry(tx) => drop(tx.send(self.budget.try_take())),
-            Message::IssueTicket(tx) => drop(tx.send(self.book.issue(now))),
-            Message::AdmitTicket(ticket, tx) => drop(tx.send(self.book.admit(&ticket, now))),
-            Message::GiveBackTicket(ticket) => self.book.release(&ticket),
+            Message::TakeRetry(tx) => drop(tx.send(self.retry_budget.try_take())),
+            Message::IssueTicket(tx) => drop(tx.send(self.tickets.issue(now))),
+            Message::AdmitTicket(ticket, tx) => drop(tx.send(self.tickets.admit(&ticket, now))),
+            Message::ReleaseTicket(ticket) => self.tickets.release(&ticket),
         }
     }
 
-    fn on_submit(&mut self, req: Request, tx: oneshot::Sender<Verdict>, now: Instant) {
+    fn on_submit(&mut self, req: Request, tx: oneshot::Sender<DispatchDecision>, now: Instant) {
         let table = self.fleet.borrow().table.clone();
         if let Some(row) = table.get(&req.item) {
-            self.demand.note_arrival(row.base.as_ref().unwrap_or(&row.name), req.rank);
+            self.demand.record_arrival(row.base.as_ref().unwrap_or(&row.name), req.rank);
         }
         let (item, rank) = (req.item.clone(), req.rank);
-        self.waiting.insert(req.id, Waiter { item, rank, tx });
+        self.waiting.insert(req.id, WaitingRequest { item, rank, tx });
         let actions = self.dispatch.submit(req, now);
-        self.carry_out(actions);
+        self.apply_actions(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
-            let (id, verdict) = match action {
+            let (id, decision) = match action {
                 Action::Start { id, server } => {
                     let address = self.addresses.get(&server).cloned().unwrap_or_default();
-                    (id, Verdict::Start(Slot { server, address }))
+                    (id, DispatchDecision::Start(AssignedServer { name: server, address }))
                 }
                 Action::Refuse { id, cause, retry_after } => {
-                    (id, Verdict::Refuse(cause, retry_after))
+                    (id, DispatchDecision::Refuse(cause, retry_after))
                 }
             };
-            let Some(Waiter { item, rank, tx }) = self.waiting.remove(&id) else { continue };
-            if let Err(Verdict::Start(slot)) = tx.send(verdict) {
-                // The caller left at this moment: the slot must not stay taken.
+            let Some(WaitingRequest { item, rank, tx }) = self.waiting.remove(&id) else {
+                continue;
+            };
+            if let Err(DispatchDecision::Start(server)) = tx.send(decision) {
+                // The caller disconnected before the decision arrived: free the slot again.
                 let now = self.clock.now();
                 let sample = Sample::abandoned();
-                actions.extend(self.dispatch.finish(&slot.server, &item, rank, &sample, now));
+                actions.extend(self.dispatch.finish(&server.name, &item, rank, &sample, now));
             }
         }
     }
 
-    fn on_fleet(&mut self) {
+    fn on_fleet_change(&mut self) {
         let replica = self.fleet.borrow_and_update().clone();
         self.addresses =
             replica.vms.vms.iter().map(|vm| (vm.name.clone(), vm.address.clone())).collect();
@@ -301,7 +316,7 @@
             .unwrap_or_default(),
     };
     let marks = [keys::drain_mark(&vm.name), keys::down_mark(&vm.name)];
-    let is_out = marks.iter().any(|mark| replica.mark(mark).is_some());
+    let is_marked_out = marks.iter().any(|mark| replica.mark(mark).is_some());
     let (name, region) = (vm.name.clone(), vm.region.clone());
-    ServerInfo { name, region, loaded, leaving: vm.leaving || is_out }
+    ServerInfo { name, region, loaded, leaving: vm.leaving || is_marked_out }
 }
--- a/savoryport/src/entry/mod.rs
+++ b/savoryport/src/entry/mod.rs
@@ -1,14 +1,15 @@
-//! The entry: takes callers' requests, queues them by rank, routes them and streams the answers.
+//! The entry process, which accepts callers' requests, queues them by rank, routes them to backend
+//! servers and streams the responses back.
 //!
-//! It needs the control process only for news. While that is gone, or the key-value service is, the
-//! entry goes on with what it knows.
+//! It depends on the control process only for updates of the fleet state. While the control process
+//! or the key-value service is unreachable, the entry keeps serving with the last known state.
 
-mod address;
-mod answer;
 mod claim;
 mod completion;
+mod discovery;
 mod dispatcher;
 mod fleet;
+mod response;
 mod retry;
 mod server;
 mod service;
@@ -33,26 +34,27 @@
 use crate::metrics::{EntryMetrics, PageError, serve_page};
 use crate::settings::Settings;
 
-/// Why the entry stops before it is asked to.
+/// An error that prevents the entry from starting.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// The callers' address cannot be listened on.
+    /// The address for callers cannot be bound.
     #[error("cannot listen on {address}: {err}")]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: String,
-        /// The operating system's words.
+        /// The error from the operating system.
         err: std::io::Error,
     },
-    /// The metrics page cannot be served.
+    /// The metrics server cannot be started.
     #[error(transparent)]
     Page(#[from] PageError),
 }
 
-/// What every request needs.
+/// The state that all requests of the process share.
 struct Context {
     settings: Settings,
     clock: Arc<dyn Clock>,
+    /// A random number that distinguishes this process from earlier ones on the same VM.
     incarnation: u64,
     dispatcher: DispatcherHandle,
     fleet: watch::Receiver<Arc<Replica>>,
@@ -60,10 +62,12 @@
     kv: Arc<EtcdClient>,
     claims: claim::Claims,
     metrics: EntryMetrics,
+    /// Tracks the requests in progress.
     requests: TaskTracker,
+    /// Tracks the open connections from callers.
     connections: TaskTracker,
-    /// Cancelled once the requests have ended, to close the connections.
-    closing: CancellationToken,
+    /// Cancelled once all requests have ended, to close the connections.
+    connection_shutdown: CancellationToken,
     is_draining: AtomicBool,
 }
 
@@ -73,11 +77,12 @@
     }
 }
 
-/// Runs the entry until the token is cancelled and its requests have ended.
+/// Runs the entry until the token is cancelled and its requests have ended or the drain timeout has
+/// passed.
 ///
 /// # Errors
 ///
-/// Returns an error where an address cannot be listened on.
+/// Returns an error if an address cannot be listened on.
 pub async fn run(settings: Settings, cancel: CancellationToken) -> Result<(), EntryError> {
     let address = settings.entry_listen.clone();
     let listener = TcpListener::bind(&address)
@@ -85,18 +90,18 @@
         .map_err(|err| EntryError::Listen { address: address.clone(), err })?;
     let clock: Arc<dyn Clock> = Arc::new(SystemClock);
     let metrics = EntryMetrics::default();
-    // The tasks end after the last request, not when the stop begins.
-    let stopped = CancellationToken::new();
+    // Requests need the background tasks, so these run until draining is over.
+    let stop_tasks = CancellationToken::new();
     let incarnation = rand::random::<u32>().into();
     let demand = fleet::Demand::default();
-    let fleet = fleet::follow(&settings, demand.clone(), metrics.clone(), stopped.clone());
+    let fleet = fleet::follow(&settings, demand.clone(), metrics.clone(), stop_tasks.clone());
     let dispatcher = dispatcher::start(
         &settings,
         incarnation,
         fleet.clone(),
         demand,
         clock.clone(),
-        stopped.clone(),
+        stop_tasks.clone(),
     );
     let timeout = Duration::from_millis(settings.platform_timeout_ms);
     let cx = Arc::new(Context {
@@ -110,35 +115,36 @@
         metrics,
         requests: TaskTracker::new(),
         connections: TaskTracker::new(),
-        closing: CancellationToken::new(),
+        connection_shutdown: CancellationToken::new(),
         is_draining: AtomicBool::new(false),
         settings,
     });
-    serve_status(&cx, stopped.clone())?;
+    serve_status(&cx, stop_tasks.clone())?;
     log::info!(address = address.as_str(); "serving callers");
-    let accepting = tokio::spawn(server::accept(listener, cx.clone(), stopped.clone()));
+    let accepting = tokio::spawn(server::accept(listener, cx.clone(), stop_tasks.clone()));
     cancel.cancelled().await;
     drain(&cx).await;
-    stopped.cancel();
+    stop_tasks.cancel();
     let _ = accepting.await;
     Ok(())
 }
 
-/// Refuses what is new and waits for what is under way, within the time that the settings name.
+/// Refuses new requests and waits for those in progress, at most for the drain timeout of the
+/// settings.
 async fn drain(cx: &Context) {
     cx.is_draining.store(true, Ordering::Relaxed);
-    let limit = Duration::from_millis(cx.settings.drain_timeout_ms);
+    let timeout = Duration::from_millis(cx.settings.drain_timeout_ms);
     log::info!(in_flight = cx.requests.len(); "draining");
     cx.requests.close();
     cx.connections.close();
-    let ended = async {
+    let all_ended = async {
         cx.requests.wait().await;
-        // The last bytes of an answer may still be in a connection's buffer.
-        cx.closing.cancel();
+        // The last bytes of a response may still be in the buffer of a connection.
+        cx.connection_shutdown.cancel();
         cx.connections.wait().await;
     };
-    if tokio::time::timeout(limit, ended).await.is_err() {
-        log::warn!(in_flight = cx.requests.len(); "stopping although requests are under way");
+    if tokio::time::timeout(timeout, all_ended).await.is_err() {
+        log::warn!(in_flight = cx.requests.len(); "drain timed out; cutting off requests");
     } else {
         log::info!("drained");
     }
--- a/savoryport/src/entry/server.rs
+++ b/savoryport/src/entry/server.rs
@@ -1,7 +1,7 @@
-//! The HTTP server towards callers, with bounds on everything that a stranger can send.
+//! The HTTP server for callers, with limits on everything that an untrusted client can send.
 //!
-//! tiny_http keeps an endless request line in memory and has no read timeout, which is why hyper
-//! stands here; the trial is in `docs/DESIGN.md`.
+//! It is built on hyper because tiny_http buffers an endless request line in memory and has no read
+//! timeout; the comparison is in `docs/DESIGN.md`.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -22,92 +22,102 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Context;
-use super::answer::{Answer, Refusal, json_answer};
-use super::{address, completion, service};
+use super::response::{CallerResponse, Refusal, json_response};
+use super::{completion, discovery, service};
 
-/// The longest head of a request in bytes.
+/// The maximum size of a request head in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// The pause after a connection could not be taken.
+/// The delay before the next attempt after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A request whose head and body were read and checked.
+/// An authorized request whose body has been received.
 pub(super) struct CallerRequest {
     pub(super) method: Method,
     pub(super) path: String,
     pub(super) query: HashMap<String, String>,
     pub(super) headers: hyper::HeaderMap,
     pub(super) body: Bytes,
+    /// The name of the caller in the settings, or `anonymous` if the settings have no callers.
     pub(super) caller: String,
 }
 
 impl CallerRequest {
-    /// Returns a header as text.
+    /// Returns the value of a header, or `None` if it is missing or is not visible ASCII.
     pub(super) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// Open connections by address.
-type Connections = Arc<Mutex<HashMap<IpAddr, usize>>>;
+/// The number of open connections by client address.
+type ConnectionCounts = Arc<Mutex<HashMap<IpAddr, usize>>>;
 
-/// Counts a connection as long as it is open.
-struct Counted {
-    connections: Connections,
+/// A permit for an open connection, which counts against the limits until it is dropped.
+struct ConnectionPermit {
+    counts: ConnectionCounts,
     address: IpAddr,
 }
 
-impl Counted {
-    fn try_new(connections: &Connections, address: IpAddr, cx: &Context) -> Option<Self> {
-        let mut counts = connections.lock().expect("no holder panics");
+impl ConnectionPermit {
+    /// Returns `None` if the total or the address has reached its limit.
+    fn try_new(
+        connection_counts: &ConnectionCounts,
+        address: IpAddr,
+        cx: &Context,
+    ) -> Option<Self> {
+        let mut counts = connection_counts.lock().expect("no holder panics");
         let total: usize = counts.values().sum();
-        let own = counts.entry(address).or_default();
+        let from_address = counts.entry(address).or_default();
         let settings = &cx.settings;
-        if total >= settings.max_connections || *own >= settings.max_connections_per_address {
+        if total >= settings.max_connections
+            || *from_address >= settings.max_connections_per_address
+        {
             return None;
         }
-        *own += 1;
-        Some(Self { connections: connections.clone(), address })
+        *from_address += 1;
+        Some(Self { counts: connection_counts.clone(), address })
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        let mut counts = self.connections.lock().expect("no holder panics");
-        if let Some(own) = counts.get_mut(&self.address) {
-            *own -= 1;
-            if *own == 0 {
+        let mut counts = self.counts.lock().expect("no holder panics");
+        if let Some(from_address) = counts.get_mut(&self.address) {
+            *from_address -= 1;
+            if *from_address == 0 {
                 counts.remove(&self.address);
             }
         }
     }
 }
 
-/// Takes connections until the token is cancelled.
+/// Accepts connections until the token is cancelled.
 pub(super) async fn accept(listener: TcpListener, cx: Arc<Context>, cancel: CancellationToken) {
-    let connections = Connections::default();
+    let connection_counts = ConnectionCounts::default();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             () = cancel.cancelled() => return,
         };
         let Ok((stream, peer)) = accepted else {
-            // Out of descriptors, most likely: those in use will end.
+            // Most likely the process is out of file descriptors; wait until connections close.
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let Some(counted) = Counted::try_new(&connections, peer.ip(), &cx) else { continue };
-        cx.connections.spawn(serve(stream, counted, cx.clone()));
+        let Some(permit) = ConnectionPermit::try_new(&connection_counts, peer.ip(), &cx) else {
+            continue;
+        };
+        cx.connections.spawn(serve_connection(stream, permit, cx.clone()));
     }
 }
 
-async fn serve(stream: TcpStream, counted: Counted, cx: Arc<Context>) {
-    let closing = cx.closing.clone();
+async fn serve_connection(stream: TcpStream, permit: ConnectionPermit, cx: Arc<Context>) {
+    let shutdown = cx.connection_shutdown.clone();
     let _ = stream.set_nodelay(true);
     let read_timeout = Duration::from_millis(cx.settings.read_timeout_ms);
     let service = service_fn(move |req| {
         let cx = cx.clone();
-        async move { Ok::<_, Infallible>(handle(&cx, req).await) }
+        async move { Ok::<_, Infallible>(handle_request(&cx, req).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -115,89 +125,89 @@
         .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    // A connection that ends badly has told its caller all there was to tell.
+    // Errors of a connection are ignored: nothing more can be sent to the caller.
     tokio::select! {
         _ = connection.as_mut() => {}
-        () = closing.cancelled() => {
-            // An answer that is written but not yet sent still leaves.
+        () = shutdown.cancelled() => {
+            // Responses that are written but not yet sent are still delivered.
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
     }
-    drop(counted);
+    drop(permit);
 }
 
-async fn handle(cx: &Arc<Context>, req: Request<Incoming>) -> Answer {
-    // The token keeps a graceful stop waiting until this request has its whole answer.
+async fn handle_request(cx: &Arc<Context>, req: Request<Incoming>) -> CallerResponse {
+    // Makes a graceful shutdown wait until the response to this request is complete.
     let token = cx.requests.token();
     match route(cx, req, token).await {
-        Ok(answer) => answer,
+        Ok(res) => res,
         Err(refusal) => {
             cx.metrics.count_refusal(refusal.cause);
-            refusal.answer()
+            refusal.to_response()
         }
     }
 }
 
-/// Keeps a graceful stop waiting while it exists.
+/// A token that makes a graceful shutdown wait until it is dropped.
 pub(super) type RequestToken = tokio_util::task::task_tracker::TaskTrackerToken;
 
 async fn route(
     cx: &Arc<Context>,
     req: Request<Incoming>,
     token: RequestToken,
-) -> Result<Answer, Refusal> {
+) -> Result<CallerResponse, Refusal> {
     let path = req.uri().path().to_owned();
     if path == "/healthz" {
         return Ok(health(cx));
     }
     if cx.is_draining() {
-        return Err(address::refuse_draining(cx));
+        return Err(discovery::refuse_draining(cx));
     }
-    let req = read(cx, req).await?;
+    let req = read_request(cx, req).await?;
     match (&req.method, path.as_str()) {
-        (&Method::GET, "/v1/entry") => address::answer(cx, &req).await,
+        (&Method::GET, "/v1/entry") => discovery::handle(cx, &req).await,
         (&Method::POST, "/v1/completions" | "/v1/chat/completions") => {
-            completion::answer(cx, &req, token).await
+            completion::handle(cx, &req, token).await
         }
-        (_, path) if path.starts_with("/services/") => service::answer(cx, req, token).await,
+        (_, path) if path.starts_with("/services/") => service::handle(cx, req, token).await,
         (_, "/v1/entry" | "/v1/completions" | "/v1/chat/completions") => {
             let status = StatusCode::METHOD_NOT_ALLOWED;
-            Err(Refusal::bad(status, "method-not-allowed", "this path takes another method"))
+            Err(Refusal::invalid(status, "method-not-allowed", "this path takes another method"))
         }
-        _ => Err(Refusal::bad(StatusCode::NOT_FOUND, "not-found", "no such path")),
+        _ => Err(Refusal::invalid(StatusCode::NOT_FOUND, "not-found", "no such path")),
     }
 }
 
-fn health(cx: &Context) -> Answer {
+fn health(cx: &Context) -> CallerResponse {
     let has_table = cx.fleet.borrow().table.version > 0;
-    let (status, word) = match (cx.is_draining(), has_table) {
+    let (status, text) = match (cx.is_draining(), has_table) {
         (true, _) => (StatusCode::SERVICE_UNAVAILABLE, "draining"),
         (false, false) => (StatusCode::SERVICE_UNAVAILABLE, "no table yet"),
         (false, true) => (StatusCode::OK, "ok"),
     };
-    json_answer(status, &serde_json::json!({ "status": word }))
+    json_response(status, &serde_json::json!({ "status": text }))
 }
 
-async fn read(cx: &Context, req: Request<Incoming>) -> Result<CallerRequest, Refusal> {
+async fn read_request(cx: &Context, req: Request<Incoming>) -> Result<CallerRequest, Refusal> {
     let (head, body) = req.into_parts();
     if head.headers.contains_key(CONTENT_LENGTH) && head.headers.contains_key(TRANSFER_ENCODING) {
-        // Two readers of one connection may disagree about where such a request ends.
+        // HTTP parsers disagree about where such a request ends, which permits request smuggling.
         let message = "give content-length or transfer-encoding, not both";
-        return Err(Refusal::bad(StatusCode::BAD_REQUEST, "ambiguous-length", message));
+        return Err(Refusal::invalid(StatusCode::BAD_REQUEST, "ambiguous-length", message));
     }
     let caller = authorize(cx, &head.headers)?;
-    let reading = Limited::new(body, cx.settings.max_body_bytes).collect();
+    let read_body = Limited::new(body, cx.settings.max_body_bytes).collect();
     let read_timeout = Duration::from_millis(cx.settings.read_timeout_ms);
-    let body = match tokio::time::timeout(read_timeout, reading).await {
+    let body = match tokio::time::timeout(read_timeout, read_body).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => {
             let message = format!("the body may have {} bytes", cx.settings.max_body_bytes);
-            return Err(Refusal::bad(StatusCode::PAYLOAD_TOO_LARGE, "too-large", message));
+            return Err(Refusal::invalid(StatusCode::PAYLOAD_TOO_LARGE, "too-large", message));
         }
         Err(_) => {
             let message = format!("the body did not come within {read_timeout:?}");
-            return Err(Refusal::bad(StatusCode::REQUEST_TIMEOUT, "too-slow", message));
+            return Err(Refusal::invalid(StatusCode::REQUEST_TIMEOUT, "too-slow", message));
         }
     };
     Ok(CallerRequest {
@@ -225,11 +235,11 @@
         .map(|caller| caller.name.to_string())
         .ok_or_else(|| {
             let message = "give a known key as bearer token";
-            Refusal::bad(StatusCode::UNAUTHORIZED, "unauthorized", message)
+            Refusal::invalid(StatusCode::UNAUTHORIZED, "unauthorized", message)
         })
 }
 
-/// Splits a query of plain names; nothing that is asked for needs escapes.
+/// Parses a query string without decoding escapes, which no valid item name needs.
 fn parse_query(query: &str) -> HashMap<String, String> {
     query
         .split('&')
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! Plain services, some of whose calls may not be repeated.
+//! Handles calls to plain services, some of which must run at most once.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,34 +19,35 @@
 use smallvec::SmallVec;
 
 use super::Context;
-use super::answer::{Answer, OUTCOME_HEADER, Refusal, whole};
-use super::claim::Claim;
-use super::dispatcher::{InFlight, Verdict};
-use super::retry::may_retry;
+use super::claim::ClaimResult;
+use super::dispatcher::{DispatchDecision, InFlight};
+use super::response::{CallerResponse, OUTCOME_HEADER, Refusal, full_body};
+use super::retry::acquire_retry;
 use super::server::{CallerRequest, RequestToken};
 use crate::metrics::{EntryMetrics, OutcomeLabels};
 
-/// The header with the ticket that the address answer gave.
+/// The request header with a ticket, which callers obtain from `/v1/entry`.
 const TICKET_HEADER: &str = "x-savoryport-ticket";
 
-/// The header with the caller's own key, for callers without a ticket.
+/// The request header with an idempotency key of the caller's choice, for callers without a ticket.
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// The header by which an entry passes a request on to the ticket's home.
+/// The request header with the VM of the entry that forwarded the request to the ticket's home: the
+/// entry that issued the ticket.
 const FORWARDED_HEADER: &str = "x-savoryport-forwarded";
 
-/// The longest idempotency key in bytes.
+/// The maximum length of an idempotency key in bytes.
 const MAX_KEY_BYTES: usize = 200;
 
-/// The cause of a retry, and of a refusal once there are no more.
-const FAILED: &str = "service-failed";
+/// The cause that is reported for retries, and for the refusal if no further retry is allowed.
+const SERVICE_FAILED: &str = "service-failed";
 
-/// When a caller may come back after no server could be reached.
+/// The delay after which a caller may retry a call that did not run.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// By what a repeated request is known.
+/// The identity by which a repetition of a request is recognized.
 #[derive(Debug, Clone)]
 enum Identity {
     Ticket(Ticket),
@@ -54,55 +55,57 @@
     None,
 }
 
+/// A call to a service in progress.
 struct Call {
     cx: Arc<Context>,
     req: CallerRequest,
     row: Row,
     request_id: String,
     identity: Identity,
-    attempt: RequestLifecycle,
-    arrived: Instant,
-    avoid: SmallVec<[Name; 2]>,
+    lifecycle: RequestLifecycle,
+    arrived_at: Instant,
+    failed_servers: SmallVec<[Name; 2]>,
     servers_tried: u32,
 }
 
-/// Answers `/services/NAME/...`.
-pub(super) async fn answer(
+/// Handles a call to `/services/NAME/...`.
+pub(super) async fn handle(
     cx: &Arc<Context>,
     req: CallerRequest,
     token: RequestToken,
-) -> Result<Answer, Refusal> {
+) -> Result<CallerResponse, Refusal> {
     let row = find_row(cx, &req)?;
-    let identity = identity(&req)?;
+    let identity = parse_identity(&req)?;
     let request_id = match admit(cx, &req, &row, &identity).await? {
-        Admitted::Start(id) => id,
-        Admitted::Elsewhere(home) => return forward(cx, &req, &home).await,
+        CallAdmission::Start(id) => id,
+        CallAdmission::Forward(home) => return forward_to_home(cx, &req, &home).await,
     };
     let call = Call {
         cx: cx.clone(),
-        attempt: RequestLifecycle::new(row.repeatable),
-        arrived: cx.clock.now(),
+        lifecycle: RequestLifecycle::new(row.repeatable),
+        arrived_at: cx.clock.now(),
         row,
         req,
         request_id,
         identity,
-        avoid: SmallVec::new(),
+        failed_servers: SmallVec::new(),
         servers_tried: 0,
     };
-    // A caller that leaves must not stop a call half-way: it runs on as a task of its own.
+    // The call runs in its own task, so that it is not cancelled halfway if the caller disconnects.
     let running = tokio::spawn(async move {
-        let answer = call.run().await;
+        let response = call.run().await;
         drop(token);
-        answer
+        response
     });
-    running.await.unwrap_or_else(|_| Err(Refusal::unknown("internal")))
+    running.await.unwrap_or_else(|_| Err(Refusal::outcome_unknown("internal")))
 }
 
-enum Admitted {
-    /// The call starts here, under this request id.
+/// The decision which entry runs a call.
+enum CallAdmission {
+    /// This entry runs the call, under this request id.
     Start(String),
-    /// The ticket's home is another entry, at this address.
-    Elsewhere(Name),
+    /// The entry at this address issued the ticket and has to run the call.
+    Forward(Name),
 }
 
 fn find_row(cx: &Context, req: &CallerRequest) -> Result<Row, Refusal> {
@@ -111,19 +114,20 @@
     let row = table.get(name).filter(|row| row.kind == RowKind::Service);
     row.cloned().ok_or_else(|| {
         let message = format!("no service {name:?}");
-        Refusal::bad(StatusCode::NOT_FOUND, "unknown-service", message)
+        Refusal::invalid(StatusCode::NOT_FOUND, "unknown-service", message)
     })
 }
 
-fn identity(req: &CallerRequest) -> Result<Identity, Refusal> {
-    let bad = |message: String| Refusal::bad(StatusCode::BAD_REQUEST, "malformed", message);
+fn parse_identity(req: &CallerRequest) -> Result<Identity, Refusal> {
+    let malformed =
+        |message: String| Refusal::invalid(StatusCode::BAD_REQUEST, "malformed", message);
     if let Some(text) = req.header(TICKET_HEADER) {
-        let ticket = text.parse().map_err(|err| bad(format!("{TICKET_HEADER}: {err}")))?;
+        let ticket = text.parse().map_err(|err| malformed(format!("{TICKET_HEADER}: {err}")))?;
         return Ok(Identity::Ticket(ticket));
     }
     let Some(key) = req.header(IDEMPOTENCY_HEADER) else { return Ok(Identity::None) };
     if key.is_empty() || key.len() > MAX_KEY_BYTES {
-        return Err(bad(format!("{IDEMPOTENCY_HEADER}: use 1 to {MAX_KEY_BYTES} bytes")));
+        return Err(malformed(format!("{IDEMPOTENCY_HEADER}: use 1 to {MAX_KEY_BYTES} bytes")));
     }
     Ok(Identity::Key(key.to_owned()))
 }
@@ -133,11 +137,11 @@
     req: &CallerRequest,
     row: &Row,
     identity: &Identity,
-) -> Result<Admitted, Refusal> {
+) -> Result<CallAdmission, Refusal> {
     match identity {
         Identity::Ticket(ticket) => admit_ticket(cx, req, ticket).await,
         Identity::Key(key) => admit_key(cx, req, row, key).await,
-        Identity::None if row.repeatable => Ok(Admitted::Start(fresh_id(cx))),
+        Identity::None if row.repeatable => Ok(CallAdmission::Start(new_request_id(cx))),
         Identity::None => {
             let message = format!(
                 "{} may not be repeated: give {TICKET_HEADER} (from /v1/entry?item={}) or \
@@ -145,7 +149,7 @@
                 row.name, row.name
             );
             let status = StatusCode::PRECONDITION_REQUIRED;
-            Err(Refusal::bad(status, "identity-required", message))
+            Err(Refusal::invalid(status, "identity-required", message))
         }
     }
 }
@@ -154,19 +158,19 @@
     cx: &Context,
     req: &CallerRequest,
     ticket: &Ticket,
-) -> Result<Admitted, Refusal> {
+) -> Result<CallAdmission, Refusal> {
     match cx.dispatcher.admit_ticket(ticket.clone()).await {
-        TicketAdmission::Start => Ok(Admitted::Start(ticket.to_string())),
-        TicketAdmission::AlreadyStarted => Err(already_started("already-started")),
-        TicketAdmission::TooOld => Err(already_started("ticket-too-old")),
-        TicketAdmission::Full => Err(Refusal::later("too-many-tickets", RETRY_AFTER)),
+        TicketAdmission::Start => Ok(CallAdmission::Start(ticket.to_string())),
+        TicketAdmission::AlreadyStarted => Err(conflict("already-started")),
+        TicketAdmission::TooOld => Err(conflict("ticket-too-old")),
+        TicketAdmission::Full => Err(Refusal::retry_later("too-many-tickets", RETRY_AFTER)),
         TicketAdmission::OtherHome => {
             let fleet = cx.fleet.borrow();
             let home =
                 fleet.vms.get(&ticket.home).filter(|_| req.header(FORWARDED_HEADER).is_none());
-            // A home that is gone took with it the knowledge of what it started.
-            home.map(|vm| Admitted::Elsewhere(vm.address.clone()))
-                .ok_or_else(|| already_started("ticket-home-gone"))
+            // If the home no longer exists, nobody knows whether the request was started.
+            home.map(|vm| CallAdmission::Forward(vm.address.clone()))
+                .ok_or_else(|| conflict("ticket-home-gone"))
         }
     }
 }
@@ -176,110 +180,113 @@
     req: &CallerRequest,
     row: &Row,
     key: &str,
-) -> Result<Admitted, Refusal> {
+) -> Result<CallAdmission, Refusal> {
     let id = claim_id(req, row, key);
     if row.repeatable {
-        return Ok(Admitted::Start(id));
+        return Ok(CallAdmission::Start(id));
     }
     let owner = format!("{}~{}", cx.settings.vm, cx.incarnation);
     match cx.claims.claim(cx.kv.clone(), &id, &owner).await {
-        Claim::Won => Ok(Admitted::Start(id)),
-        Claim::Taken => Err(already_started("already-started")),
-        Claim::NoAnswer => Err(Refusal::later("no-claim", RETRY_AFTER)),
+        ClaimResult::Acquired => Ok(CallAdmission::Start(id)),
+        ClaimResult::AlreadyClaimed => Err(conflict("already-started")),
+        ClaimResult::Unavailable => Err(Refusal::retry_later("no-claim", RETRY_AFTER)),
     }
 }
 
+/// Returns the id under which a request with an idempotency key is claimed and sent.
 fn claim_id(req: &CallerRequest, row: &Row, key: &str) -> String {
     format!("{}/{}/{key}", row.name, req.caller)
 }
 
-fn fresh_id(cx: &Context) -> String {
+fn new_request_id(cx: &Context) -> String {
     let number = NEXT_ID.fetch_add(1, Ordering::Relaxed);
     format!("{}-{}-{number}", cx.settings.vm, cx.incarnation)
 }
 
-fn already_started(cause: &'static str) -> Refusal {
-    Refusal { status: StatusCode::CONFLICT, ..Refusal::unknown(cause) }
+/// Creates the refusal of a request that may have been started before.
+fn conflict(cause: &'static str) -> Refusal {
+    Refusal { status: StatusCode::CONFLICT, ..Refusal::outcome_unknown(cause) }
 }
 
 impl Call {
-    async fn run(mut self) -> Result<Answer, Refusal> {
+    async fn run(mut self) -> Result<CallerResponse, Refusal> {
         loop {
-            let mut in_flight = self.queue().await?;
-            let handed_at = self.cx.clock.now();
+            let mut in_flight = self.wait_for_server().await?;
+            let sent_at = self.cx.clock.now();
             match self.call_once(&in_flight).await {
-                Some(answer) => {
+                Some(response) => {
                     in_flight.sample.end = RequestEnd::Completed;
-                    in_flight.sample.total = self.cx.clock.now() - handed_at;
-                    self.note_end(Outcome::Done);
-                    return Ok(answer);
+                    in_flight.sample.total = self.cx.clock.now() - sent_at;
+                    self.record_end(Outcome::Done);
+                    return Ok(response);
                 }
                 None => {
                     in_flight.sample.end = RequestEnd::Failed;
-                    self.may_go_on(&in_flight).await?;
+                    self.check_retry(&in_flight).await?;
                 }
             }
         }
     }
 
-    async fn queue(&mut self) -> Result<InFlight, Refusal> {
+    /// Queues the call until the dispatcher assigns a server or refuses it.
+    async fn wait_for_server(&mut self) -> Result<InFlight, Refusal> {
         let target = Duration::from_millis(self.row.first_token_ms.into());
         let req = Request {
             id: NEXT_ID.fetch_add(1, Ordering::Relaxed) | SERVICE_ID_BIT,
             item: self.row.name.clone(),
             rank: self.row.rank,
-            deadline: self.arrived + target,
+            deadline: self.arrived_at + target,
             prompt_tokens: 0,
             prefix_hash: prefix_hash(&self.row.name, &self.request_id),
-            failed_servers: self.avoid.clone(),
+            failed_servers: self.failed_servers.clone(),
             max_in_flight: self.row.max_in_flight,
         };
-        let targets = Sample::in_progress(0, Duration::MAX);
-        match self.cx.dispatcher.submit(req, targets).await {
+        let sample = Sample::in_progress(0, Duration::MAX);
+        match self.cx.dispatcher.submit(req, sample).await {
             Ok(in_flight) => {
-                self.fire(RequestEvent::Start);
+                self.on_event(RequestEvent::Start);
                 Ok(in_flight)
             }
-            Err(Verdict::Refuse(cause, retry_after)) => {
+            Err(DispatchDecision::Refuse(cause, retry_after)) => {
                 Err(self.give_up(cause.name(), retry_after))
             }
-            Err(Verdict::Start(_)) => unreachable!("a start is no refusal"),
+            Err(DispatchDecision::Start(_)) => unreachable!("submit returns a start as Ok"),
         }
     }
 
-    /// Sends the call to one server; `None` where no answer came.
-    async fn call_once(&mut self, in_flight: &InFlight) -> Option<Answer> {
+    /// Sends the call to one server. Returns `None` if it did not respond or is draining.
+    async fn call_once(&mut self, in_flight: &InFlight) -> Option<CallerResponse> {
         let cx = self.cx.clone();
-        let slot = &in_flight.slot;
+        let server = &in_flight.server;
         self.servers_tried += 1;
         let timeout = Duration::from_millis(cx.settings.connect_timeout_ms);
-        let connecting = cx.pool.connect(&slot.address, self.row.repeatable, timeout);
+        let connecting = cx.pool.connect(&server.address, self.row.repeatable, timeout);
         let Ok(mut connection) = connecting.await else {
-            self.fire(RequestEvent::ConnectFailed);
-            cx.dispatcher.suspend(&slot.server);
+            self.on_event(RequestEvent::ConnectFailed);
+            cx.dispatcher.suspend(&server.name);
             return None;
         };
-        self.fire(RequestEvent::Connected);
+        self.on_event(RequestEvent::Connected);
         let timeout = Duration::from_millis(cx.settings.service_timeout_ms);
         let exchange = async {
-            let answer = connection.send(self.service_request(&slot.address)).await.ok()?;
-            let (head, body) = answer.into_parts();
+            let response = connection.send(self.service_request(&server.address)).await.ok()?;
+            let (head, body) = response.into_parts();
             let body = Limited::new(body, cx.settings.max_answer_bytes).collect().await.ok()?;
             Some((head, body.to_bytes()))
         };
         let Some((head, body)) = tokio::time::timeout(timeout, exchange).await.ok().flatten()
         else {
-            self.fire(RequestEvent::Broken);
+            self.on_event(RequestEvent::Broken);
             return None;
         };
         if head.headers.contains_key(DRAINING_HEADER) {
-            self.fire(RequestEvent::Rejected);
-            cx.dispatcher.suspend_draining(&slot.server);
+            self.on_event(RequestEvent::Rejected);
+            cx.dispatcher.suspend_draining(&server.name);
             return None;
         }
-        self.fire(RequestEvent::Finished);
+        self.on_event(RequestEvent::Finished);
         cx.pool.give_back(connection);
-        Some(pass_on(&Response::from_parts(head, ()), body))
+        Some(response_to_caller(&Response::from_parts(head, ()), body))
     }
 
     fn service_request(&self, address: &Name) -> hyper::Request<Full<Bytes>> {
@@ -288,73 +295,79 @@
             .uri(&self.req.path)
             .header(HOST, &**address)
             .header(REQUEST_ID_HEADER, &self.request_id);
-        if let Some(kind) = self.req.headers.get(CONTENT_TYPE) {
-            builder = builder.header(CONTENT_TYPE, kind);
+        if let Some(content_type) = self.req.headers.get(CONTENT_TYPE) {
+            builder = builder.header(CONTENT_TYPE, content_type);
         }
-        builder.body(Full::new(self.req.body.clone())).expect("checked headers")
+        builder.body(Full::new(self.req.body.clone())).expect("the headers were parsed before")
     }
 
-    async fn may_go_on(&mut self, failed: &InFlight) -> Result<(), Refusal> {
-        self.avoid.push(failed.slot.server.clone());
-        let (attempt, item) = (&self.attempt, &self.row.name);
-        if may_retry(&self.cx, attempt, item, self.servers_tried, FAILED).await {
+    /// Records the failed server and returns an error if the call must not be retried.
+    async fn check_retry(&mut self, failed: &InFlight) -> Result<(), Refusal> {
+        self.failed_servers.push(failed.server.name.clone());
+        let (lifecycle, item) = (&self.lifecycle, &self.row.name);
+        if acquire_retry(&self.cx, lifecycle, item, self.servers_tried, SERVICE_FAILED).await {
             return Ok(());
         }
-        Err(self.give_up(FAILED, RETRY_AFTER))
+        Err(self.give_up(SERVICE_FAILED, RETRY_AFTER))
     }
 
-    /// Ends the call; one that certainly did not run may be sent again under the same identity.
+    /// Ends the call with a refusal. A call that certainly did not run may be sent again with the
+    /// same ticket or key.
     fn give_up(&mut self, cause: &'static str, retry_after: Duration) -> Refusal {
-        self.fire(RequestEvent::GiveUp);
-        let outcome = self.attempt.outcome().unwrap_or(Outcome::Unknown);
-        self.note_end(outcome);
+        self.on_event(RequestEvent::GiveUp);
+        let outcome = self.lifecycle.outcome().unwrap_or(Outcome::Unknown);
+        self.record_end(outcome);
         if outcome != Outcome::NotRun {
-            return Refusal::unknown(cause);
+            return Refusal::outcome_unknown(cause);
         }
         match &self.identity {
-            Identity::Ticket(ticket) => self.cx.dispatcher.give_back_ticket(ticket),
+            Identity::Ticket(ticket) => self.cx.dispatcher.release_ticket(ticket),
             Identity::Key(key) => {
                 self.cx.claims.abandon(&claim_id(&self.req, &self.row, key));
             }
             Identity::None => {}
         }
-        Refusal::later(cause, retry_after)
+        Refusal::retry_later(cause, retry_after)
     }
 
-    fn note_end(&self, outcome: Outcome) {
+    fn record_end(&self, outcome: Outcome) {
         let metrics = &self.cx.metrics;
         let rank = self.row.rank;
         let labels = OutcomeLabels { rank: rank.name(), outcome: outcome.name() };
         metrics.requests.get_or_create(&labels).inc();
         let labels = EntryMetrics::labels(&self.req.caller, rank);
-        let time = self.cx.clock.now().saturating_duration_since(self.arrived);
+        let time = self.cx.clock.now().saturating_duration_since(self.arrived_at);
         metrics.duration.get_or_create(&labels).observe(time.as_secs_f64());
     }
 
-    fn fire(&mut self, event: RequestEvent) {
-        if let Err(err) = self.attempt.on_event(event) {
-            log::error!(err:%; "call left its chart");
+    fn on_event(&mut self, event: RequestEvent) {
+        if let Err(err) = self.lifecycle.on_event(event) {
+            log::error!(err:%; "event is not allowed in the current state of the call");
         }
     }
 }
 
-/// Keeps the ids of services apart from those of completions.
+/// The bit that distinguishes the dispatcher's ids of service calls from those of completions.
 const SERVICE_ID_BIT: u64 = 1 << 63;
 
-fn pass_on(head: &Response<()>, body: Bytes) -> Answer {
+fn response_to_caller(head: &Response<()>, body: Bytes) -> CallerResponse {
     let mut builder =
         Response::builder().status(head.status()).header(OUTCOME_HEADER, Outcome::Done.name());
-    if let Some(kind) = head.headers().get(CONTENT_TYPE) {
-        builder = builder.header(CONTENT_TYPE, kind);
+    if let Some(content_type) = head.headers().get(CONTENT_TYPE) {
+        builder = builder.header(CONTENT_TYPE, content_type);
     }
-    builder.body(whole(body)).expect("checked headers")
+    builder.body(full_body(body)).expect("the headers were parsed before")
 }
 
-/// Passes a request on to the home of its ticket, which alone may start it.
-async fn forward(cx: &Context, req: &CallerRequest, home: &Name) -> Result<Answer, Refusal> {
+/// Forwards a request to the home of its ticket, the only entry that may start the request.
+async fn forward_to_home(
+    cx: &Context,
+    req: &CallerRequest,
+    home: &Name,
+) -> Result<CallerResponse, Refusal> {
     let timeout = Duration::from_millis(cx.settings.connect_timeout_ms);
     let Ok(mut connection) = cx.pool.connect(home, false, timeout).await else {
-        return Err(already_started("ticket-home-unreachable"));
+        return Err(conflict("ticket-home-unreachable"));
     };
     let mut builder = hyper::Request::builder()
         .method(req.method.clone())
@@ -366,16 +379,17 @@
             builder = builder.header(name, value);
         }
     }
-    let forwarded = builder.body(Full::new(req.body.clone())).expect("checked headers");
-    let patience = Duration::from_millis(cx.settings.service_timeout_ms) + RETRY_AFTER;
+    let forwarded =
+        builder.body(Full::new(req.body.clone())).expect("the headers were parsed before");
+    let response_timeout = Duration::from_millis(cx.settings.service_timeout_ms) + RETRY_AFTER;
     let exchange = async {
-        let answer: Response<Incoming> = connection.send(forwarded).await.ok()?;
-        let (head, body) = answer.into_parts();
+        let response: Response<Incoming> = connection.send(forwarded).await.ok()?;
+        let (head, body) = response.into_parts();
         let body = Limited::new(body, cx.settings.max_answer_bytes).collect().await.ok()?;
-        Some(Response::from_parts(head, whole(body.to_bytes())))
+        Some(Response::from_parts(head, full_body(body.to_bytes())))
     };
-    match tokio::time::timeout(patience, exchange).await {
-        Ok(Some(answer)) => Ok(answer),
-        _ => Err(already_started("ticket-home-silent")),
+    match tokio::time::timeout(response_timeout, exchange).await {
+        Ok(Some(response)) => Ok(response),
+        _ => Err(conflict("ticket-home-silent")),
     }
 }
--- a/savoryport/src/entry/stream.rs
+++ b/savoryport/src/entry/stream.rs
@@ -1,4 +1,5 @@
-//! Reads an engine's events and passes them on to the caller.
+//! The two sides of a streamed completion: events received from an engine and events sent to the
+//! caller.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -12,111 +13,112 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-use super::answer::Body;
+use super::response::Body;
 
-/// The data of the event that ends a whole stream.
+/// The data of the event that ends a complete stream.
 const DONE: &str = "[DONE]";
 
-/// Pieces that wait for a caller who reads slowly.
-const CALLER_BUFFER: usize = 16;
+/// The number of chunks that are buffered for a caller that reads slowly.
+const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// The engine's stream ended before its last event.
+/// The error for an engine's stream that fails before its last event.
 #[derive(Debug, Error)]
 pub(super) enum StreamError {
-    /// The connection broke.
-    #[error("stream broke: {0}")]
+    /// The connection broke or an event could not be parsed.
+    #[error("cannot read event: {0}")]
     Broken(String),
-    /// Nothing came for too long.
+    /// No event arrived within the stall timeout.
     #[error("no event for {0:?}")]
-    Silent(Duration),
-    /// The engine ended the stream without its last event.
+    Stalled(Duration),
+    /// The stream ended without its last event.
     #[error("stream ended early")]
     EndedEarly,
 }
 
-/// What came next.
+/// An event of an engine's stream.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Next {
-    /// One token.
+pub(super) enum StreamEvent {
+    /// The data of an event with one token.
     Token(String),
-    /// The whole answer is through.
+    /// The stream is complete.
     Done,
 }
 
-/// The events of an engine's answer.
+/// The events of an engine's response.
 pub(super) struct EngineStream {
     events: BoxStream<'static, Result<String, String>>,
-    stall: Duration,
+    stall_timeout: Duration,
 }
 
 impl EngineStream {
-    /// Reads a body; `stall` is the longest time without an event.
-    pub(super) fn new(body: Incoming, stall: Duration) -> Self {
+    /// Creates a stream from a response body; `stall_timeout` is the longest time without an event.
+    pub(super) fn new(body: Incoming, stall_timeout: Duration) -> Self {
         let frames = BodyStream::new(body)
             .filter_map(async |frame| frame.map(|frame| frame.into_data().ok()).transpose());
         let events = frames
             .eventsource()
             .map(|event| event.map(|event| event.data).map_err(|err| err.to_string()))
             .boxed();
-        Self { events, stall }
+        Self { events, stall_timeout }
     }
 
     /// Waits for the next event.
-    pub(super) async fn next(&mut self) -> Result<Next, StreamError> {
-        match tokio::time::timeout(self.stall, self.events.next()).await {
-            Err(_) => Err(StreamError::Silent(self.stall)),
+    pub(super) async fn next(&mut self) -> Result<StreamEvent, StreamError> {
+        match tokio::time::timeout(self.stall_timeout, self.events.next()).await {
+            Err(_) => Err(StreamError::Stalled(self.stall_timeout)),
             Ok(None) => Err(StreamError::EndedEarly),
-            Ok(Some(Err(problem))) => Err(StreamError::Broken(problem)),
-            Ok(Some(Ok(data))) if data == DONE => Ok(Next::Done),
-            Ok(Some(Ok(data))) => Ok(Next::Token(data)),
+            Ok(Some(Err(err))) => Err(StreamError::Broken(err)),
+            Ok(Some(Ok(data))) if data == DONE => Ok(StreamEvent::Done),
+            Ok(Some(Ok(data))) => Ok(StreamEvent::Token(data)),
         }
     }
 }
 
-/// The way to a caller who reads a stream.
+/// The sending side of a response that is streamed to a caller.
 pub(super) struct CallerStream {
     tx: mpsc::Sender<Bytes>,
-    stall: Duration,
+    stall_timeout: Duration,
 }
 
-/// The caller left, or reads nothing.
+/// The error for a caller that has disconnected or has stopped reading.
 #[derive(Debug, Error)]
-#[error("the caller has left")]
+#[error("the caller has disconnected or stopped reading")]
 pub(super) struct CallerLeft;
 
 impl CallerStream {
-    /// Makes the two ends of an answer; `stall` is the longest time for which nothing is read.
-    pub(super) fn new(stall: Duration) -> (Self, Body) {
-        let (tx, mut rx) = mpsc::channel::<Bytes>(CALLER_BUFFER);
+    /// Creates the sending side and the body of a response; `stall_timeout` is the longest wait for
+    /// the caller to read.
+    pub(super) fn new(stall_timeout: Duration) -> (Self, Body) {
+        let (tx, mut rx) = mpsc::channel::<Bytes>(MAX_BUFFERED_CHUNKS);
         let frames = futures::stream::poll_fn(move |cx| rx.poll_recv(cx))
-            .map(|piece| Ok::<_, Infallible>(Frame::data(piece)));
-        (Self { tx, stall }, BodyExt::boxed(StreamBody::new(frames)))
+            .map(|chunk| Ok::<_, Infallible>(Frame::data(chunk)));
+        (Self { tx, stall_timeout }, BodyExt::boxed(StreamBody::new(frames)))
     }
 
-    /// Sends one event.
-    pub(super) async fn token(&self, data: &str) -> Result<(), CallerLeft> {
+    /// Sends an event with one token.
+    pub(super) async fn send_token(&self, data: &str) -> Result<(), CallerLeft> {
         self.send(format!("data: {data}\n\n")).await
     }
 
-    /// Sends the end of a whole answer.
-    pub(super) async fn done(&self) -> Result<(), CallerLeft> {
-        self.outcome(&serde_json::json!({ "outcome": "done" })).await?;
+    /// Sends the events that end a complete stream.
+    pub(super) async fn send_done(&self) -> Result<(), CallerLeft> {
+        self.send_outcome(&serde_json::json!({ "outcome": "done" })).await?;
         self.send(format!("data: {DONE}\n\n")).await
     }
 
-    /// Names the outcome of the request.
-    pub(super) async fn outcome(&self, body: &serde_json::Value) -> Result<(), CallerLeft> {
+    /// Sends an event with the outcome of the request.
+    pub(super) async fn send_outcome(&self, body: &serde_json::Value) -> Result<(), CallerLeft> {
         self.send(format!("event: outcome\ndata: {body}\n\n")).await
     }
 
-    /// Waits until the caller leaves.
+    /// Waits until the caller disconnects.
     pub(super) async fn closed(&self) {
         self.tx.closed().await;
     }
 
-    async fn send(&self, piece: String) -> Result<(), CallerLeft> {
-        let sending = self.tx.send(Bytes::from(piece));
-        match tokio::time::timeout(self.stall, sending).await {
+    async fn send(&self, chunk: String) -> Result<(), CallerLeft> {
+        let send = self.tx.send(Bytes::from(chunk));
+        match tokio::time::timeout(self.stall_timeout, send).await {
             Ok(Ok(())) => Ok(()),
             _ => Err(CallerLeft),
         }
