--- a/savoryport/tests/requests.rs
+++ b/savoryport/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Requests under failure, with real processes: whole answers, at most once, exact outcomes.
+//! Requests under failure, with real processes: responses are complete, requests that must not be
+//! repeated run at most once, and the reported outcomes are correct.
 
 mod site;
 
@@ -9,23 +10,23 @@
 use rustix::process::Signal;
 use savoryport_core::table::parse_csv;
 
-use site::{Site, expected_tokens, get, kill, post, read_stream, signal, wait_for, wait_for_end};
+use site::{Site, expected_tokens, get, kill, post, read_stream, signal, wait_for, wait_for_exit};
 
-const TICKET: &str = "x-savoryport-ticket";
-const KEY: &str = "idempotency-key";
+const TICKET_HEADER: &str = "x-savoryport-ticket";
+const KEY_HEADER: &str = "idempotency-key";
 
 #[test]
-fn tokens_reach_the_caller_as_they_come() {
+fn tokens_are_forwarded_as_they_arrive() {
     let site = Site::start();
     let started = Instant::now();
     let mut lines = site.stream(0, "quick", "as they come", 30);
     lines.next().unwrap().unwrap();
     let first = started.elapsed();
-    let streamed = read_stream(lines);
-    let whole = started.elapsed();
-    assert!(first * 3 < whole, "first after {first:?}, whole after {whole:?}");
-    assert_eq!(streamed.outcome, "done");
-    assert!(streamed.is_done);
+    let result = read_stream(lines);
+    let total = started.elapsed();
+    assert!(first * 3 < total, "first line after {first:?}, last line after {total:?}");
+    assert_eq!(result.outcome, "done");
+    assert!(result.is_done);
 }
 
 #[test]
@@ -34,9 +35,9 @@
     for engine in &site.fleet.engines {
         engine.set_faults(|faults| faults.break_streams = 1);
     }
-    let streamed = read_stream(site.stream(0, "quick", "broken in the middle", 12));
-    assert_eq!(streamed.tokens, expected_tokens("broken in the middle", 12));
-    assert_eq!(streamed.outcome, "done");
+    let result = read_stream(site.stream(0, "quick", "broken in the middle", 12));
+    assert_eq!(result.tokens, expected_tokens("broken in the middle", 12));
+    assert_eq!(result.outcome, "done");
 }
 
 #[test]
@@ -46,11 +47,11 @@
     let mut first = lines.next().unwrap().unwrap();
     first = first.replace("data: ", "");
     site.engine_proxies.iter().for_each(savoryport_standin::proxy::Proxy::silence_open);
-    let streamed = read_stream(lines);
+    let result = read_stream(lines);
     let expected = expected_tokens("gone silent", 40);
     assert!(first.contains(&expected[0]));
-    assert_eq!(streamed.tokens, expected[1..]);
-    assert_eq!(streamed.outcome, "done");
+    assert_eq!(result.tokens, expected[1..]);
+    assert_eq!(result.outcome, "done");
 }
 
 #[test]
@@ -62,13 +63,13 @@
             scope.spawn(move || {
                 let prompt = format!("caller {caller:02}");
                 if caller % 6 == 0 {
-                    // A caller that leaves early must not leave its answer to the next one.
+                    // The rest of a response that the caller abandons must not reach the next one.
                     let mut lines = site.stream(caller % 3, "quick", &prompt, 30);
                     lines.next();
                     return;
                 }
-                let streamed = read_stream(site.stream(caller % 3, "quick", &prompt, 10));
-                assert_eq!(streamed.tokens, expected_tokens(&prompt, 10));
+                let result = read_stream(site.stream(caller % 3, "quick", &prompt, 10));
+                assert_eq!(result.tokens, expected_tokens(&prompt, 10));
             });
         }
     });
@@ -92,10 +93,10 @@
     for service in &site.fleet.services {
         service.set_faults(|faults| faults.lose_answers = 1);
     }
-    let first = site.capture(0, (TICKET, &ticket)).unwrap();
+    let first = site.capture(0, (TICKET_HEADER, &ticket)).unwrap();
     assert_eq!((first.status, first.outcome.as_str()), (502, "unknown"));
-    for at in [0, 1, 2] {
-        let again = site.capture(at, (TICKET, &ticket)).unwrap();
+    for node in [0, 1, 2] {
+        let again = site.capture(node, (TICKET_HEADER, &ticket)).unwrap();
         assert_eq!((again.status, again.outcome.as_str()), (409, "unknown"));
     }
     assert_eq!(site.executions(&ticket), 1);
@@ -108,11 +109,11 @@
     let barrier = Barrier::new(9);
     let done = thread::scope(|scope| {
         let calls: Vec<_> = (0..9)
-            .map(|at| {
+            .map(|index| {
                 let (site, ticket, barrier) = (&site, &ticket, &barrier);
                 scope.spawn(move || {
                     barrier.wait();
-                    site.capture(at % 3, (TICKET, ticket)).unwrap().outcome
+                    site.capture(index % 3, (TICKET_HEADER, ticket)).unwrap().outcome
                 })
             })
             .collect();
@@ -127,13 +128,13 @@
 fn a_capture_whose_home_was_killed_is_unknown_everywhere_also_after_its_restart() {
     let mut site = Site::start();
     let ticket = site.ticket(0);
-    assert_eq!(site.capture(0, (TICKET, &ticket)).unwrap().outcome, "done");
+    assert_eq!(site.capture(0, (TICKET_HEADER, &ticket)).unwrap().outcome, "done");
     kill(&mut site.nodes[0].entry);
-    let elsewhere = site.capture(1, (TICKET, &ticket)).unwrap();
+    let elsewhere = site.capture(1, (TICKET_HEADER, &ticket)).unwrap();
     assert_eq!(elsewhere.outcome, "unknown");
     site.start_entry(0);
     site.wait_until_ready(0);
-    let restarted = site.capture(0, (TICKET, &ticket)).unwrap();
+    let restarted = site.capture(0, (TICKET_HEADER, &ticket)).unwrap();
     assert_eq!(restarted.outcome, "unknown");
     assert_eq!(site.executions(&ticket), 1);
 }
@@ -145,10 +146,10 @@
     for service in &site.fleet.services {
         service.set_faults(|faults| faults.draining = true);
     }
-    let refused = site.capture(0, (TICKET, &ticket)).unwrap();
+    let refused = site.capture(0, (TICKET_HEADER, &ticket)).unwrap();
     assert_eq!((refused.status, refused.outcome.as_str()), (503, "not-run"));
     assert!(refused.retry_after.is_some());
-    assert_eq!(site.all_executions(), 0);
+    assert_eq!(site.total_executions(), 0);
 }
 
 #[test]
@@ -157,11 +158,11 @@
     let barrier = Barrier::new(6);
     let done = thread::scope(|scope| {
         let calls: Vec<_> = (0..6)
-            .map(|at| {
+            .map(|index| {
                 let (site, barrier) = (&site, &barrier);
                 scope.spawn(move || {
                     barrier.wait();
-                    site.capture(at % 3, (KEY, "order-4711")).unwrap().outcome
+                    site.capture(index % 3, (KEY_HEADER, "order-4711")).unwrap().outcome
                 })
             })
             .collect();
@@ -169,30 +170,30 @@
         outcomes.iter().filter(|outcome| *outcome == "done").count()
     });
     assert_eq!(done, 1);
-    assert_eq!(site.all_executions(), 1);
+    assert_eq!(site.total_executions(), 1);
 }
 
 #[test]
 fn a_key_during_an_outage_did_not_run_and_runs_once_afterwards() {
     let site = Site::start();
     site.fleet.kv.set_faults(|faults| faults.down = true);
-    let during = site.capture(0, (KEY, "order-1")).unwrap();
+    let during = site.capture(0, (KEY_HEADER, "order-1")).unwrap();
     assert_eq!((during.status, during.outcome.as_str()), (503, "not-run"));
     assert!(during.retry_after.is_some());
-    assert_eq!(site.all_executions(), 0);
+    assert_eq!(site.total_executions(), 0);
     site.fleet.kv.set_faults(|faults| faults.down = false);
-    assert_eq!(site.capture(0, (KEY, "order-1")).unwrap().outcome, "done");
-    assert_eq!(site.capture(1, (KEY, "order-1")).unwrap().outcome, "unknown");
-    assert_eq!(site.all_executions(), 1);
+    assert_eq!(site.capture(0, (KEY_HEADER, "order-1")).unwrap().outcome, "done");
+    assert_eq!(site.capture(1, (KEY_HEADER, "order-1")).unwrap().outcome, "unknown");
+    assert_eq!(site.total_executions(), 1);
 }
 
 #[test]
 fn a_capture_without_identity_is_told_how_to_get_one() {
     let site = Site::start();
-    let answer = site.capture(0, ("x-other", "1")).unwrap();
-    assert_eq!((answer.status, answer.outcome.as_str()), (428, "not-run"));
-    assert!(answer.body.contains("/v1/entry?item=capture"), "{}", answer.body);
-    assert_eq!(site.all_executions(), 0);
+    let res = site.capture(0, ("x-other", "1")).unwrap();
+    assert_eq!((res.status, res.outcome.as_str()), (428, "not-run"));
+    assert!(res.body.contains("/v1/entry?item=capture"), "{}", res.body);
+    assert_eq!(site.total_executions(), 0);
 }
 
 #[test]
@@ -203,8 +204,8 @@
     }
     let ticket = site.ticket(0);
     thread::scope(|scope| {
-        let call = scope.spawn(|| site.capture(0, (TICKET, &ticket)).unwrap());
-        let ran = || site.all_executions() > 0;
+        let call = scope.spawn(|| site.capture(0, (TICKET_HEADER, &ticket)).unwrap());
+        let ran = || site.total_executions() > 0;
         wait_for("the capture to run", Duration::from_secs(2), ran);
         let table = site::TABLE.replace(
             "service,capture,,0,4,urgent,64,2000,0,0,no",
@@ -217,9 +218,9 @@
         site.apply(&table, false).unwrap();
         assert_eq!(call.join().unwrap().outcome, "unknown");
     });
-    // The ticket also holds after the service became repeatable.
-    wait_for("the change", Duration::from_secs(9), || site.entry_table_version(0) == 2);
-    assert_eq!(site.capture(0, (TICKET, &ticket)).unwrap().outcome, "unknown");
+    // The ticket is still refused after the service became repeatable.
+    wait_for("the new table", Duration::from_secs(9), || site.entry_table_version(0) == 2);
+    assert_eq!(site.capture(0, (TICKET_HEADER, &ticket)).unwrap().outcome, "unknown");
     assert_eq!(site.executions(&ticket), 1);
 }
 
@@ -229,49 +230,49 @@
     let mut lines = site.stream(0, "quick", "through the stop", 60);
     lines.next().unwrap().unwrap();
     signal(site.nodes[0].entry.as_ref().unwrap(), Signal::TERM);
-    let refuses = || {
+    let is_draining = || {
         site.complete(0, "quick", "too late", 1)
-            .is_ok_and(|answer| answer.status == 503 && answer.outcome == "not-run")
+            .is_ok_and(|res| res.status == 503 && res.outcome == "not-run")
     };
-    wait_for("new requests to be refused", Duration::from_secs(1), refuses);
+    wait_for("new requests to be refused", Duration::from_secs(1), is_draining);
     let refused = site.complete(0, "quick", "too late", 1).unwrap();
-    let other = site.entry(1).to_owned();
-    let third = site.entry(2).to_owned();
-    assert!(refused.body.contains(&other) || refused.body.contains(&third), "{}", refused.body);
-    let streamed = read_stream(lines);
-    assert_eq!(streamed.tokens, expected_tokens("through the stop", 60)[1..]);
-    assert_eq!(streamed.outcome, "done");
-    assert!(wait_for_end(&mut site.nodes[0].entry, Duration::from_secs(5)).success());
+    let second = site.entry_address(1).to_owned();
+    let third = site.entry_address(2).to_owned();
+    assert!(refused.body.contains(&second) || refused.body.contains(&third), "{}", refused.body);
+    let result = read_stream(lines);
+    assert_eq!(result.tokens, expected_tokens("through the stop", 60)[1..]);
+    assert_eq!(result.outcome, "done");
+    assert!(wait_for_exit(&mut site.nodes[0].entry, Duration::from_secs(5)).success());
 }
 
 #[test]
 fn an_unreachable_service_leaves_the_request_not_run() {
     let site = Site::start();
-    // Nobody listens at the services' new addresses.
+    // Nothing listens on the new addresses of the services.
     site.vm_list.change(|list| {
         for vm in list.vms.iter_mut().filter(|vm| !vm.services.is_empty()) {
             vm.address = savoryport_standin::fleet::free_address().into();
         }
     });
     let ticket = site.ticket(0);
-    let is_seen = || {
-        let answer = site.capture(0, (TICKET, &site.ticket(0))).unwrap();
-        answer.outcome == "not-run" && answer.status == 503
+    let is_unreachable = || {
+        let res = site.capture(0, (TICKET_HEADER, &site.ticket(0))).unwrap();
+        res.outcome == "not-run" && res.status == 503
     };
-    wait_for("the change of addresses", Duration::from_secs(5), is_seen);
-    let ran = site.all_executions();
-    let refused = site.capture(0, (TICKET, &ticket)).unwrap();
+    wait_for("the new addresses", Duration::from_secs(5), is_unreachable);
+    let ran = site.total_executions();
+    let refused = site.capture(0, (TICKET_HEADER, &ticket)).unwrap();
     assert_eq!(refused.outcome, "not-run");
-    assert_eq!((site.executions(&ticket), site.all_executions()), (0, ran));
+    assert_eq!((site.executions(&ticket), site.total_executions()), (0, ran));
 }
 
 #[test]
-fn wrong_requests_get_one_clear_error_and_change_nothing() {
+fn invalid_requests_are_refused_and_do_not_run() {
     let site = Site::start_with(|settings| {
         settings["max_body_bytes"] = serde_json::json!(2_000);
     });
     let completion = |body: serde_json::Value, headers: &[(&str, &str)]| {
-        post(site.entry(0), "/v1/completions", headers, &body).unwrap()
+        post(site.entry_address(0), "/v1/completions", headers, &body).unwrap()
     };
     let good = serde_json::json!({ "model": "quick", "prompt": "x", "max_tokens": 1 });
     let cases = [
@@ -302,30 +303,31 @@
         ),
         (completion(good.clone(), &[("x-savoryport-rank", "soon")]), 400, "malformed"),
         (completion(good.clone(), &[("x-savoryport-deadline-ms", "-1")]), 400, "malformed"),
-        (get(site.entry(0), "/v1/completions").unwrap(), 405, "method-not-allowed"),
-        (get(site.entry(0), "/nowhere").unwrap(), 404, "not-found"),
-        (get(site.entry(0), "/v1/entry?item=none").unwrap(), 404, "unknown-item"),
-        (site.capture(0, (TICKET, "mine")).unwrap(), 400, "malformed"),
+        (get(site.entry_address(0), "/v1/completions").unwrap(), 405, "method-not-allowed"),
+        (get(site.entry_address(0), "/nowhere").unwrap(), 404, "not-found"),
+        (get(site.entry_address(0), "/v1/entry?item=none").unwrap(), 404, "unknown-item"),
+        (site.capture(0, (TICKET_HEADER, "mine")).unwrap(), 400, "malformed"),
     ];
-    for (answer, status, cause) in cases {
-        assert_eq!(answer.status, status, "{answer:?}");
-        assert!(answer.body.contains(cause), "{answer:?}");
-        assert_eq!(answer.outcome, "not-run", "{answer:?}");
+    for (res, status, cause) in cases {
+        assert_eq!(res.status, status, "{res:?}");
+        assert!(res.body.contains(cause), "{res:?}");
+        assert_eq!(res.outcome, "not-run", "{res:?}");
     }
-    assert_eq!(site.all_executions(), 0);
+    assert_eq!(site.total_executions(), 0);
 }
 
 #[test]
-fn unknown_callers_are_turned_away() {
+fn requests_without_a_known_key_are_unauthorized() {
     let callers = serde_json::json!([{ "name": "workshop", "key": "secret" }]);
     let mut site = Site::start();
     site.nodes[0].settings["callers"] = callers;
     kill(&mut site.nodes[0].entry);
     site.start_entry(0);
     let body = serde_json::json!({ "model": "quick", "prompt": "x", "max_tokens": 1 });
-    let ask = |headers: &[(&str, &str)]| post(site.entry(0), "/v1/completions", headers, &body);
+    let send =
+        |headers: &[(&str, &str)]| post(site.entry_address(0), "/v1/completions", headers, &body);
     let key = [("authorization", "Bearer secret")];
-    wait_for("the entry", Duration::from_secs(5), || ask(&key).is_ok_and(|a| a.status == 200));
-    assert_eq!(ask(&[]).unwrap().status, 401);
-    assert_eq!(ask(&[("authorization", "Bearer other")]).unwrap().status, 401);
+    wait_for("the entry", Duration::from_secs(5), || send(&key).is_ok_and(|res| res.status == 200));
+    assert_eq!(send(&[]).unwrap().status, 401);
+    assert_eq!(send(&[("authorization", "Bearer other")]).unwrap().status, 401);
 }
--- a/savoryport/tests/site/mod.rs
+++ b/savoryport/tests/site/mod.rs
@@ -1,6 +1,7 @@
-//! A small site for tests: real daemons as processes, stand-ins behind fault-injecting proxies.
+//! A small deployment for tests: the entry and control daemons run as processes, stand-ins for the
+//! platform and the backend servers run in the test process, and proxies in between inject faults.
 
-// Each test program uses its own part of this.
+// Each test binary uses only some of these helpers.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader};
@@ -17,13 +18,14 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-/// How long a site may take to come up.
-const START_LIMIT: Duration = Duration::from_secs(20);
+/// How long a site may take to start.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The pause between two looks at a condition.
-const POLL: Duration = Duration::from_millis(20);
+/// The interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The table of the site: three models, an adapter, a service that may not repeat and one that may.
+/// The table of the site: three models, an adapter, a service whose calls must not be repeated and
+/// one whose calls may be.
 pub const TABLE: &str = "\
 kind,name,base,memory_mib,weight,rank,max_in_flight,first_token_ms,between_tokens_ms,min_copies,repeatable
 model,quick,,30000,2,urgent,32,1500,70,2,yes
@@ -34,7 +36,7 @@
 service,lookup,,0,4,urgent,64,2000,0,0,yes
 ";
 
-/// One entry VM with its two daemons.
+/// An entry VM with its two daemons.
 pub struct Node {
     pub vm: Vm,
     pub settings: Value,
@@ -43,53 +45,55 @@
     pub control: Option<Child>,
 }
 
-/// A whole site. Its processes end with it.
+/// A deployment of daemons and stand-ins. Dropping it ends the processes.
 pub struct Site {
     pub fleet: LocalFleet,
-    /// The list with the proxies' addresses, which the daemons see.
+    /// The list of VMs that the daemons read, with the addresses of the proxies.
     pub vm_list: VmListStandin,
-    /// A proxy before each engine.
+    /// The proxies between the daemons and each engine.
     pub engine_proxies: Vec<Proxy>,
-    /// A proxy before each plain service.
+    /// The proxies between the daemons and each plain service.
     pub service_proxies: Vec<Proxy>,
-    /// A proxy before the key-value service, for each node.
+    /// The proxies between each node and the key-value service.
     pub kv_proxies: Vec<Proxy>,
     pub nodes: Vec<Node>,
     temp_dir: TempDir,
 }
 
-/// An answer read whole.
+/// A response whose body was read completely.
 #[derive(Debug)]
-pub struct Answered {
+pub struct CallerResponse {
     pub status: u16,
     pub outcome: String,
+    /// The `retry-after-ms` header.
     pub retry_after: Option<String>,
     pub body: String,
 }
 
 impl Site {
-    /// Starts three nodes, four engines (one of which ignores fencing) and two services, and waits
-    /// until every model answers.
+    /// Starts three nodes, four engines (one of which ignores fencing tokens) and two services, and
+    /// waits until every node can serve every model.
     pub fn start() -> Self {
         Self::start_with(|_| {})
     }
 
-    /// Starts a site whose daemons' settings are changed first.
+    /// Starts a site like [`Site::start`], with changed settings of the daemons.
     pub fn start_with(change: impl Fn(&mut Value)) -> Self {
-        let mut site = Self::platform();
-        for at in 0..site.nodes.len() {
-            change(&mut site.nodes[at].settings);
-            site.start_control(at);
-            site.start_entry(at);
+        let mut site = Self::start_platform();
+        for node in 0..site.nodes.len() {
+            change(&mut site.nodes[node].settings);
+            site.start_control(node);
+            site.start_entry(node);
         }
         site.apply(TABLE, true).unwrap();
-        for at in 0..site.nodes.len() {
-            site.wait_until_ready(at);
+        for node in 0..site.nodes.len() {
+            site.wait_until_ready(node);
         }
         site
     }
 
-    fn platform() -> Self {
+    /// Starts the stand-ins and the proxies, but no daemons.
+    fn start_platform() -> Self {
         let fleet = LocalFleet::start(vm_list(), Duration::ZERO, |vm| EngineConfig {
             capacity_mib: vm.memory_mib,
             checks_fencing: vm.checks_fencing,
@@ -135,23 +139,24 @@
         Self { fleet, vm_list, engine_proxies, service_proxies, kv_proxies, nodes, temp_dir }
     }
 
-    pub fn start_entry(&mut self, at: usize) {
-        self.nodes[at].entry = Some(self.nodes[at].start(env!("CARGO_BIN_EXE_savoryport-entry")));
+    pub fn start_entry(&mut self, node: usize) {
+        self.nodes[node].entry =
+            Some(self.nodes[node].start(env!("CARGO_BIN_EXE_savoryport-entry")));
     }
 
-    pub fn start_control(&mut self, at: usize) {
+    pub fn start_control(&mut self, node: usize) {
         let program = env!("CARGO_BIN_EXE_savoryport-control");
-        self.nodes[at].control = Some(self.nodes[at].start(program));
+        self.nodes[node].control = Some(self.nodes[node].start(program));
     }
 
-    /// Puts a table in force.
+    /// Applies a table like `savoryport table apply`; `first` says that there is none yet.
     pub fn apply(&self, text: &str, first: bool) -> Result<String, savoryport::cli::CliError> {
         let path = self.temp_dir.path().join("table.csv");
         std::fs::write(&path, text).unwrap();
         table::apply(&Options { first, ..self.options() }, &path)
     }
 
-    /// Returns the command line's options for this site.
+    /// Returns the command-line options for this site.
     pub fn options(&self) -> Options {
         Options {
             key_value: self.fleet.kv.address().to_owned(),
@@ -165,87 +170,95 @@
         self.temp_dir.path()
     }
 
-    /// Returns the address of a node's entry.
-    pub fn entry(&self, at: usize) -> &str {
-        &self.nodes[at].vm.address
+    /// Returns the address at which a node's entry serves callers.
+    pub fn entry_address(&self, node: usize) -> &str {
+        &self.nodes[node].vm.address
     }
 
-    pub fn wait_until_ready(&self, at: usize) {
-        wait_for("every model to answer", START_LIMIT, || {
-            ["quick", "draft", "review", "shop"]
-                .iter()
-                .all(|model| self.complete(at, model, "ready?", 1).is_ok_and(|a| a.status == 200))
+    pub fn wait_until_ready(&self, node: usize) {
+        wait_for("every model to answer", START_TIMEOUT, || {
+            ["quick", "draft", "review", "shop"].iter().all(|model| {
+                self.complete(node, model, "ready?", 1).is_ok_and(|res| res.status == 200)
+            })
         });
     }
 
+    /// Sends a completion request without streaming.
     pub fn complete(
         &self,
-        at: usize,
+        node: usize,
         model: &str,
         prompt: &str,
         max_tokens: u32,
-    ) -> Result<Answered, ureq::Error> {
+    ) -> Result<CallerResponse, ureq::Error> {
         let body = json!({ "model": model, "prompt": prompt, "max_tokens": max_tokens });
-        post(self.entry(at), "/v1/completions", &[], &body)
+        post(self.entry_address(node), "/v1/completions", &[], &body)
     }
 
-    /// Starts a stream and returns its lines as they come.
-    pub fn stream(&self, at: usize, model: &str, prompt: &str, max_tokens: u32) -> Lines {
+    /// Sends a completion request with streaming and returns the lines of the response.
+    pub fn stream(&self, node: usize, model: &str, prompt: &str, max_tokens: u32) -> StreamLines {
         let body =
             json!({ "model": model, "prompt": prompt, "max_tokens": max_tokens, "stream": true });
-        let url = format!("http://{}/v1/completions", self.entry(at));
-        let answer = agent().post(url).send_json(body).unwrap();
-        assert_eq!(answer.status(), 200);
-        BufReader::new(answer.into_body().into_reader()).lines()
+        let url = format!("http://{}/v1/completions", self.entry_address(node));
+        let res = agent().post(url).send_json(body).unwrap();
+        assert_eq!(res.status(), 200);
+        BufReader::new(res.into_body().into_reader()).lines()
     }
 
-    /// Calls the service that may not repeat.
-    pub fn capture(&self, at: usize, header: (&str, &str)) -> Result<Answered, ureq::Error> {
-        post(self.entry(at), "/services/capture/pay", &[header], &json!({ "pairs": 2 }))
+    /// Calls the service whose calls must not be repeated.
+    pub fn capture(
+        &self,
+        node: usize,
+        header: (&str, &str),
+    ) -> Result<CallerResponse, ureq::Error> {
+        post(self.entry_address(node), "/services/capture/pay", &[header], &json!({ "pairs": 2 }))
     }
 
-    pub fn ticket(&self, at: usize) -> String {
-        let answer = get(self.entry(at), "/v1/entry?item=capture").unwrap();
-        let answer: Value = serde_json::from_str(&answer.body).unwrap();
-        answer["ticket"].as_str().unwrap().to_owned()
+    /// Returns a new ticket, issued by a node's entry for the `capture` service.
+    pub fn ticket(&self, node: usize) -> String {
+        let res = get(self.entry_address(node), "/v1/entry?item=capture").unwrap();
+        let body: Value = serde_json::from_str(&res.body).unwrap();
+        body["ticket"].as_str().unwrap().to_owned()
     }
 
-    /// Returns how often a request id ran, over all services.
+    /// Returns how often a request ran, summed over all services.
     pub fn executions(&self, id: &str) -> u32 {
         let counts = self.fleet.services.iter().map(|s| s.executions().get(id).copied());
         counts.map(Option::unwrap_or_default).sum()
     }
 
-    /// Returns the number of captures that ran, whatever their id.
-    pub fn all_executions(&self) -> u32 {
+    /// Returns the number of requests that ran, summed over all services.
+    pub fn total_executions(&self) -> u32 {
         self.fleet.services.iter().flat_map(|service| service.executions().into_values()).sum()
     }
 
-    /// The engines' own count of memory is what every test ends with.
+    /// Checks that no engine ever had more in memory than its capacity, by the engines' own count.
     pub fn assert_no_overcommitment(&self) {
         for engine in &self.fleet.engines {
             assert_eq!(engine.counts().overcommitted_mib, 0);
         }
     }
 
+    /// Returns the indices of the engines that have a model loaded.
     pub fn engines_with(&self, model: &str) -> Vec<usize> {
         let has = |engine: &EngineStandin| engine.loaded().contains(model);
-        (0..self.engine_proxies.len()).filter(|at| has(&self.fleet.engines[*at])).collect()
+        (0..self.engine_proxies.len()).filter(|index| has(&self.fleet.engines[*index])).collect()
     }
 
-    /// Returns whether a node's control process reads the platform itself.
-    pub fn reads_platform(&self, at: usize) -> bool {
-        let address = self.nodes[at].settings["control_metrics_listen"].as_str().unwrap();
-        let Ok(answer) = get(address, "/status") else { return false };
-        let status: Value = serde_json::from_str(&answer.body).unwrap_or_default();
+    /// Returns whether a node's control process reads the platform itself instead of following
+    /// another control process.
+    pub fn reads_platform(&self, node: usize) -> bool {
+        let address = self.nodes[node].settings["control_metrics_listen"].as_str().unwrap();
+        let Ok(res) = get(address, "/status") else { return false };
+        let status: Value = serde_json::from_str(&res.body).unwrap_or_default();
         status["reads_platform"] == json!(true)
     }
 
-    /// Returns the table's version that a node's entry has in force.
-    pub fn entry_table_version(&self, at: usize) -> u64 {
-        let address = self.nodes[at].settings["entry_metrics_listen"].as_str().unwrap();
-        let Ok(answer) = get(address, "/status") else { return 0 };
-        let status: Value = serde_json::from_str(&answer.body).unwrap_or_default();
+    /// Returns the version of the table that a node's entry uses.
+    pub fn entry_table_version(&self, node: usize) -> u64 {
+        let address = self.nodes[node].settings["entry_metrics_listen"].as_str().unwrap();
+        let Ok(res) = get(address, "/status") else { return 0 };
+        let status: Value = serde_json::from_str(&res.body).unwrap_or_default();
         status["table_version"].as_u64().unwrap_or(0)
     }
 }
@@ -291,7 +304,7 @@
     kill_process(Pid::from_child(child), signal).unwrap();
 }
 
-/// Kills a process and waits for its end.
+/// Kills a process, if it is running, and waits for its exit.
 pub fn kill(child: &mut Option<Child>) {
     if let Some(mut child) = child.take() {
         child.kill().unwrap();
@@ -299,23 +312,26 @@
     }
 }
 
-/// Waits for the end of a process.
-pub fn wait_for_end(child: &mut Option<Child>, limit: Duration) -> ExitStatus {
+/// Waits for the exit of a process.
+pub fn wait_for_exit(child: &mut Option<Child>, timeout: Duration) -> ExitStatus {
     let mut child = child.take().unwrap();
     let mut status = None;
-    wait_for("the process to end", limit, || {
+    wait_for("the process to exit", timeout, || {
         status = child.try_wait().unwrap();
         status.is_some()
     });
     status.unwrap()
 }
 
-/// Waits until a condition holds.
-pub fn wait_for(what: &str, limit: Duration, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition is true; `what` describes it in the panic message after a timeout.
+pub fn wait_for(what: &str, timeout: Duration, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !holds() {
-        assert!(started.elapsed() < limit, "waited {limit:?} for {what}");
-        std::thread::sleep(POLL);
+    while !condition() {
+        assert!(
+            started.elapsed() < timeout,
+            "timed out after {timeout:?} while waiting for {what}"
+        );
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -327,8 +343,8 @@
         .into()
 }
 
-pub fn get(address: &str, path: &str) -> Result<Answered, ureq::Error> {
-    read(agent().get(format!("http://{address}{path}")).call()?)
+pub fn get(address: &str, path: &str) -> Result<CallerResponse, ureq::Error> {
+    read_response(agent().get(format!("http://{address}{path}")).call()?)
 }
 
 pub fn post(
@@ -336,55 +352,56 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &Value,
-) -> Result<Answered, ureq::Error> {
+) -> Result<CallerResponse, ureq::Error> {
     let mut req = agent().post(format!("http://{address}{path}"));
     for (name, value) in headers {
         req = req.header(*name, *value);
     }
-    read(req.send_json(body)?)
+    read_response(req.send_json(body)?)
 }
 
-fn read(mut answer: ureq::http::Response<ureq::Body>) -> Result<Answered, ureq::Error> {
-    let header = |name: &str| Some(answer.headers().get(name)?.to_str().ok()?.to_owned());
+fn read_response(mut res: ureq::http::Response<ureq::Body>) -> Result<CallerResponse, ureq::Error> {
+    let header = |name: &str| Some(res.headers().get(name)?.to_str().ok()?.to_owned());
     let outcome = header("x-savoryport-outcome").unwrap_or_default();
     let retry_after = header("retry-after-ms");
-    let body = answer.body_mut().read_to_string()?;
-    Ok(Answered { status: answer.status().as_u16(), outcome, retry_after, body })
+    let body = res.body_mut().read_to_string()?;
+    Ok(CallerResponse { status: res.status().as_u16(), outcome, retry_after, body })
 }
 
-/// The lines of a stream.
-pub type Lines = std::io::Lines<BufReader<ureq::BodyReader<'static>>>;
+/// The lines of a streamed response.
+pub type StreamLines = std::io::Lines<BufReader<ureq::BodyReader<'static>>>;
 
-/// What a stream brought: its tokens in order, and the outcome that it named.
+/// The content of a streamed response.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Streamed {
+pub struct StreamResult {
     pub tokens: Vec<String>,
     pub outcome: String,
+    /// Whether the `[DONE]` event arrived.
     pub is_done: bool,
 }
 
 /// Reads a stream to its end.
-pub fn read_stream(lines: Lines) -> Streamed {
-    let mut streamed = Streamed::default();
+pub fn read_stream(lines: StreamLines) -> StreamResult {
+    let mut result = StreamResult::default();
     for line in lines.map_while(Result::ok) {
         let Some(data) = line.strip_prefix("data: ") else { continue };
         if data == "[DONE]" {
-            streamed.is_done = true;
+            result.is_done = true;
             continue;
         }
         let event: Value = serde_json::from_str(data).unwrap();
         match event["outcome"].as_str() {
-            Some(outcome) => outcome.clone_into(&mut streamed.outcome),
-            None => streamed.tokens.push(event["choices"][0]["text"].as_str().unwrap().to_owned()),
+            Some(outcome) => outcome.clone_into(&mut result.outcome),
+            None => result.tokens.push(event["choices"][0]["text"].as_str().unwrap().to_owned()),
         }
     }
-    streamed
+    result
 }
 
-/// Returns the tokens that the stand-in makes of a prompt.
+/// Returns the first `count` tokens that an engine stand-in generates for a prompt.
 pub fn expected_tokens(prompt: &str, count: u32) -> Vec<String> {
     let tag: String = prompt.chars().skip(prompt.chars().count().saturating_sub(12)).collect();
-    (0..count).map(|at| format!(" {tag}/{at}")).collect()
+    (0..count).map(|index| format!(" {tag}/{index}")).collect()
 }
 
 fn vm_list() -> VmList {
--- a/savoryport/tests/strangers.rs
+++ b/savoryport/tests/strangers.rs
@@ -1,4 +1,5 @@
-//! What strangers may send to an entry: half, too much, ambiguous, or nothing at all.
+//! Malformed and hostile traffic that any client can send to an entry: incomplete, oversized or
+//! ambiguous requests, responses left unread, and too many connections.
 
 mod site;
 
@@ -9,10 +10,10 @@
 use serde_json::json;
 use site::{Site, wait_for};
 
-/// The entry's time for a head or a body in these tests.
+/// The entry's timeout for reading a request head or body in these tests.
 const READ_TIMEOUT: Duration = Duration::from_millis(500);
 
-fn site() -> Site {
+fn start_site() -> Site {
     Site::start_with(|settings| {
         settings["read_timeout_ms"] = json!(READ_TIMEOUT.as_millis() as u64);
         settings["caller_stall_ms"] = json!(500);
@@ -21,17 +22,17 @@
 }
 
 fn connect(site: &Site) -> TcpStream {
-    let stream = TcpStream::connect(site.entry(0)).unwrap();
+    let stream = TcpStream::connect(site.entry_address(0)).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     stream
 }
 
-fn answer_to(site: &Site, text: &str) -> String {
+fn send_raw(site: &Site, request: &str) -> String {
     let mut stream = connect(site);
-    stream.write_all(text.as_bytes()).unwrap();
-    let mut answer = String::new();
-    let _ = stream.read_to_string(&mut answer);
-    answer
+    stream.write_all(request.as_bytes()).unwrap();
+    let mut response = String::new();
+    let _ = stream.read_to_string(&mut response);
+    response
 }
 
 fn resident_kib(site: &Site) -> u64 {
@@ -42,33 +43,33 @@
 }
 
 #[test]
-fn a_half_sent_head_is_closed_in_time() {
-    let site = site();
-    let began = Instant::now();
-    answer_to(&site, "POST /v1/completions HTTP/1.1\r\nhost: x\r\n");
-    assert!(began.elapsed() < READ_TIMEOUT * 4);
+fn a_connection_with_an_incomplete_head_is_closed_in_time() {
+    let site = start_site();
+    let started = Instant::now();
+    send_raw(&site, "POST /v1/completions HTTP/1.1\r\nhost: x\r\n");
+    assert!(started.elapsed() < READ_TIMEOUT * 4);
 }
 
 #[test]
-fn a_half_sent_body_is_refused_in_time() {
-    let site = site();
-    let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{";
-    let began = Instant::now();
-    let answer = answer_to(&site, head);
-    assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-    assert!(began.elapsed() < READ_TIMEOUT * 4);
+fn a_request_with_an_incomplete_body_is_refused_in_time() {
+    let site = start_site();
+    let request = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{";
+    let started = Instant::now();
+    let response = send_raw(&site, request);
+    assert!(response.starts_with("HTTP/1.1 408"), "{response}");
+    assert!(started.elapsed() < READ_TIMEOUT * 4);
 }
 
 #[test]
-fn a_head_without_an_end_takes_no_memory() {
-    let site = site();
+fn an_endless_head_is_not_buffered() {
+    let site = start_site();
     let before = resident_kib(&site);
     let mut stream = connect(&site);
-    let line = format!("x-filler: {}\r\n", "a".repeat(8_000));
+    let header_line = format!("x-filler: {}\r\n", "a".repeat(8_000));
     let _ = stream.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n");
-    // 64 MB, of which the entry reads no more than a head may have.
+    // Sends up to 64 MB, of which the entry must not read more than the size limit of a head.
     for _ in 0..8_000 {
-        if stream.write_all(line.as_bytes()).is_err() {
+        if stream.write_all(header_line.as_bytes()).is_err() {
             break;
         }
     }
@@ -77,18 +78,19 @@
 }
 
 #[test]
-fn both_length_headers_are_refused() {
-    let site = site();
-    let text = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 4\r\n\
+fn a_request_with_both_length_headers_smuggles_no_second_request() {
+    let site = start_site();
+    let requests = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 4\r\n\
                 transfer-encoding: chunked\r\n\r\n0\r\n\r\nGET /healthz HTTP/1.1\r\nhost: x\r\n\r\n";
-    let answer = answer_to(&site, text);
-    // What follows is not read as a request of its own under one of the two readings.
-    assert!(!answer.contains("HTTP/1.1 200"), "{answer}");
+    let response = send_raw(&site, requests);
+    // The second request must not be served under either reading of the length, since it could be
+    // smuggled past a proxy that uses the other one.
+    assert!(!response.contains("HTTP/1.1 200"), "{response}");
 }
 
 #[test]
 fn a_caller_that_leaves_its_answer_unread_does_not_hold_a_slot() {
-    let site = site();
+    let site = start_site();
     let body = json!({
         "model": "quick", "prompt": "unread", "max_tokens": 30_000, "stream": true,
     });
@@ -99,7 +101,7 @@
         body.len()
     );
     stream.write_all(head.as_bytes()).unwrap();
-    // One byte shows that the engine's stream has begun; nothing more is read.
+    // The first byte shows that the engine's stream has started; nothing more is read.
     stream.read_exact(&mut [0; 1]).unwrap();
     drop(stream);
     let cancelled =
@@ -108,15 +110,15 @@
 }
 
 #[test]
-fn too_many_connections_from_one_address_are_closed() {
-    let site = site();
-    let held: Vec<TcpStream> = (0..60).map(|_| connect(&site)).collect();
-    let mut refused = 0;
-    for mut stream in held {
+fn connections_beyond_the_limit_of_an_address_are_closed() {
+    let site = start_site();
+    let connections: Vec<TcpStream> = (0..60).map(|_| connect(&site)).collect();
+    let mut closed = 0;
+    for mut stream in connections {
         stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
-        refused += usize::from(matches!(stream.read(&mut [0; 1]), Ok(0)));
+        closed += usize::from(matches!(stream.read(&mut [0; 1]), Ok(0)));
     }
-    assert!(refused >= 20, "{refused} of 60 were closed");
-    let serves = || site.complete(0, "quick", "after", 1).is_ok_and(|answer| answer.status == 200);
+    assert!(closed >= 20, "{closed} of 60 were closed");
+    let serves = || site.complete(0, "quick", "after", 1).is_ok_and(|res| res.status == 200);
     wait_for("the entry to serve again", Duration::from_secs(3), serves);
 }
