--- a/savoryport/tests/commands.rs
+++ b/savoryport/tests/commands.rs
@@ -74,7 +74,7 @@
 #[test]
 fn status_and_explain_show_the_fleet() {
     let site = Site::start();
-    let vm_list = site.vms.address().to_owned();
+    let vm_list = site.vm_list.address().to_owned();
     let platform = ["--key-value", site.fleet.kv.address(), "--vm-list", &vm_list];
     let ask = |words: &[&str]| {
         let output = run(&[&platform, words].concat());
@@ -106,7 +106,7 @@
 fn the_operators_page_works_as_written() {
     let site = Site::start();
     let settings = site.nodes[0].settings_file.to_str().unwrap().to_owned();
-    let file = site.folder().join("edited.csv");
+    let file = site.temp_dir().join("edited.csv");
     let path = file.to_str().unwrap();
     let ask = |words: &[&str]| {
         let output = run(&[&["--settings", &settings], words].concat());
--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -12,7 +12,7 @@
 use savoryport_core::ledger::ServerRecord;
 use savoryport_core::replica::Replica;
 
-use site::{Site, TABLE, kill, read_stream, signal, tokens_of, wait_for};
+use site::{Site, TABLE, expected_tokens, kill, read_stream, signal, wait_for};
 
 /// The users' bound for a change of the table.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(9);
@@ -44,7 +44,7 @@
     }
     site.fleet.kv.set_faults(|faults| faults.down = true);
     let streamed = read_stream(site.stream(0, "quick", "without control", 10));
-    assert_eq!(streamed.tokens, tokens_of("without control", 10));
+    assert_eq!(streamed.tokens, expected_tokens("without control", 10));
     assert!(
         (0..3).all(|at| ["quick", "draft", "review", "shop"].iter().all(|m| answers(&site, at, m)))
     );
@@ -110,7 +110,7 @@
     let site = Site::start();
     let began = Instant::now();
     site.apply(&larger_table(), false).unwrap();
-    let everywhere = || (0..3).all(|at| site.version_at(at) == 2);
+    let everywhere = || (0..3).all(|at| site.entry_table_version(at) == 2);
     wait_for("version 2 everywhere", IN_FORCE_WITHIN, everywhere);
     println!("in force everywhere after {:?}", began.elapsed());
 }
@@ -123,8 +123,8 @@
     wait_for("the second VM to follow the first", Duration::from_secs(12), follows);
     signal(site.nodes[0].control.as_ref().unwrap(), Signal::STOP);
     site.apply(&larger_table(), false).unwrap();
-    wait_for("version 2 at the follower", IN_FORCE_WITHIN, || site.version_at(1) == 2);
-    wait_for("version 2 beside the reader", IN_FORCE_WITHIN, || site.version_at(0) == 2);
+    wait_for("version 2 at the follower", IN_FORCE_WITHIN, || site.entry_table_version(1) == 2);
+    wait_for("version 2 beside the reader", IN_FORCE_WITHIN, || site.entry_table_version(0) == 2);
     signal(site.nodes[0].control.as_ref().unwrap(), Signal::CONT);
 }
 
@@ -138,13 +138,15 @@
         kill(&mut site.nodes[at].control);
         site.start_control(at);
         site.start_entry(at);
-        wait_for("the table of a peer", Duration::from_secs(8), || site.version_at(at) == 1);
+        wait_for("the table of a peer", Duration::from_secs(8), || {
+            site.entry_table_version(at) == 1
+        });
         site.wait_until_ready(at);
     }
     site.fleet.kv.set_faults(|faults| faults.down = false);
     site.apply(&larger_table(), false).unwrap();
     let everywhere = || {
-        let versions = [0, 1, 2].map(|at| site.version_at(at));
+        let versions = [0, 1, 2].map(|at| site.entry_table_version(at));
         assert!(versions.iter().all(|version| *version >= 1), "{versions:?}");
         versions == [2, 2, 2]
     };
@@ -154,24 +156,24 @@
 #[test]
 fn a_node_cut_off_from_the_service_follows_again_after_the_cut() {
     let site = Site::start();
-    site.kv[2].set_faults(|faults| faults.refuse = true);
-    site.kv[2].cut();
+    site.kv_proxies[2].set_faults(|faults| faults.refuse = true);
+    site.kv_proxies[2].cut();
     assert!(answers(&site, 2, "quick"));
     site.apply(&larger_table(), false).unwrap();
     // Peers bring the table to the other side of the cut.
-    wait_for("version 2 beyond the cut", IN_FORCE_WITHIN, || site.version_at(2) == 2);
-    site.kv[2].set_faults(|faults| faults.refuse = false);
+    wait_for("version 2 beyond the cut", IN_FORCE_WITHIN, || site.entry_table_version(2) == 2);
+    site.kv_proxies[2].set_faults(|faults| faults.refuse = false);
     let third = format!("{}model,more,,5000,1,normal,8,1800,70,1,yes\n", larger_table());
     site.apply(&third, false).unwrap();
-    wait_for("version 3 after the cut", IN_FORCE_WITHIN, || site.version_at(2) == 3);
+    wait_for("version 3 after the cut", IN_FORCE_WITHIN, || site.entry_table_version(2) == 3);
 }
 
 #[test]
 fn a_service_whose_connections_fell_silent_is_asked_anew() {
     let site = Site::start();
-    site.kv.iter().for_each(savoryport_standin::proxy::Proxy::silence_open);
+    site.kv_proxies.iter().for_each(savoryport_standin::proxy::Proxy::silence_open);
     site.apply(&larger_table(), false).unwrap();
-    let everywhere = || (0..3).all(|at| site.version_at(at) == 2);
+    let everywhere = || (0..3).all(|at| site.entry_table_version(at) == 2);
     wait_for("version 2 everywhere", IN_FORCE_WITHIN, everywhere);
 }
 
@@ -179,7 +181,7 @@
 fn of_two_operators_at_once_one_is_refused_and_told_the_rows() {
     let site = Site::start();
     let edit = |name: &str, weight: &str| {
-        let path = site.folder().join(format!("{name}.csv"));
+        let path = site.temp_dir().join(format!("{name}.csv"));
         table::get(&site.options(), Some(&path)).unwrap();
         let text = std::fs::read_to_string(&path).unwrap();
         std::fs::write(&path, text.replace("30000,2,urgent", weight)).unwrap();
@@ -200,7 +202,7 @@
 #[test]
 fn operators_who_change_other_rows_may_merge() {
     let site = Site::start();
-    let path = site.folder().join("mine.csv");
+    let path = site.temp_dir().join("mine.csv");
     table::get(&site.options(), Some(&path)).unwrap();
     site.apply(&larger_table(), false).unwrap();
     let text = std::fs::read_to_string(&path).unwrap();
@@ -263,7 +265,7 @@
             drain.args(["--key-value", site.fleet.kv.address(), "drain", &name]);
             assert!(drain.status().unwrap().success());
         } else {
-            site.vms.change(|list| {
+            site.vm_list.change(|list| {
                 list.vms.iter_mut().for_each(|vm| vm.leaving |= *vm.name == *name);
             });
         }
@@ -282,8 +284,8 @@
 fn models_of_a_server_that_dies_answer_again() {
     let site = Site::start();
     let dead = site.engines_with("draft")[0];
-    site.engines[dead].set_faults(|faults| faults.refuse = true);
-    site.engines[dead].cut();
+    site.engine_proxies[dead].set_faults(|faults| faults.refuse = true);
+    site.engine_proxies[dead].cut();
     // Models with a second copy never stop.
     assert!(answers(&site, 0, "quick"));
     let all = || ["quick", "draft", "review", "shop"].iter().all(|model| answers(&site, 0, model));
@@ -304,8 +306,8 @@
 fn a_lost_failure_domain_leaves_every_model_reachable() {
     let mut site = Site::start();
     for engine in [2, 3] {
-        site.engines[engine].set_faults(|faults| faults.refuse = true);
-        site.engines[engine].cut();
+        site.engine_proxies[engine].set_faults(|faults| faults.refuse = true);
+        site.engine_proxies[engine].cut();
     }
     kill(&mut site.nodes[2].entry);
     kill(&mut site.nodes[2].control);
