--- a/savoryport/src/control/announce.rs
+++ b/savoryport/src/control/announce.rs
@@ -20,11 +20,11 @@
     let vm = cx.settings.vm.clone();
     let name = keys::control_mark(&vm);
     loop {
-        let vms = cx.hub.replica().vms.clone();
+        let vms = cx.state.replica().vms.clone();
         if vms.get(&vm).is_some() {
             // The version of the list tells a VM that left it from one that had yet to enter.
             let value = vms.version.to_string();
-            if let Ok(Some(incarnation)) = cx.platform.set_mark(&cx.hub, &name, &value).await {
+            if let Ok(Some(incarnation)) = cx.kv.set_mark(&cx.state, &name, &value).await {
                 return HolderId { vm, incarnation };
             }
         }
--- a/savoryport/src/control/platform.rs
+++ b/savoryport/src/control/kv_client.rs
@@ -9,17 +9,17 @@
     Entry, EtcdClient, Event, KeyValue, KvError, LeaseId, PutAnswer, Revision,
 };
 
-use super::hub::Hub;
+use super::shared_state::SharedState;
 use crate::keys;
 
 /// The key-value service as tasks use it.
 #[derive(Clone)]
-pub(super) struct Platform {
+pub(super) struct KvClient {
     kv: Arc<EtcdClient>,
     errors: Counter,
 }
 
-impl Platform {
+impl KvClient {
     pub(super) fn new(kv: Arc<EtcdClient>, errors: Counter) -> Self {
         Self { kv, errors }
     }
@@ -71,7 +71,7 @@
     /// or `None` where somebody else wrote meanwhile.
     pub(super) async fn set_mark(
         &self,
-        hub: &Hub,
+        state: &SharedState,
         name: &str,
         value: &str,
     ) -> Result<Option<Revision>, KvError> {
@@ -80,7 +80,7 @@
         let written = self.put_if(&key, value.as_bytes().to_vec(), current, None).await?;
         let PutAnswer::Written(revision) = written else { return Ok(None) };
         let value = (!value.is_empty()).then(|| value.into());
-        hub.add_mark(name, Mark { revision, value });
+        state.merge_mark(name, Mark { revision, value });
         Ok(Some(revision))
     }
 
--- a/savoryport/src/control/leases.rs
+++ b/savoryport/src/control/leases.rs
@@ -29,16 +29,16 @@
 
 /// The groups held by this process, and until when it may act for them.
 #[derive(Debug, Clone)]
-pub(super) struct Held {
+pub(super) struct HeldLeases {
     groups: BTreeSet<Name>,
     id: Option<LeaseId>,
     lease: Lease,
 }
 
 /// What the other tasks see of it.
-pub(super) type HeldReceiver = watch::Receiver<Arc<Held>>;
+pub(super) type HeldLeasesReceiver = watch::Receiver<Arc<HeldLeases>>;
 
-impl Held {
+impl HeldLeases {
     /// Returns whether this process may act for a group now.
     pub(super) fn may_act(&self, group: &str, now: Instant) -> bool {
         self.groups.contains(group) && self.lease.may_act(now)
@@ -51,9 +51,9 @@
 }
 
 /// Starts the task.
-pub(super) fn start(cx: &Context, me: HolderId, cancel: CancellationToken) -> HeldReceiver {
+pub(super) fn start(cx: &Context, me: HolderId, cancel: CancellationToken) -> HeldLeasesReceiver {
     let lease = Lease::new(Duration::from_millis(cx.settings.lease_ttl_ms));
-    let held = Held { groups: BTreeSet::new(), id: None, lease };
+    let held = HeldLeases { groups: BTreeSet::new(), id: None, lease };
     let (tx, rx) = watch::channel(Arc::new(held.clone()));
     let task = LeaseTask { cx: cx.clone(), me, held, free_since: BTreeMap::new(), tx };
     tokio::spawn(cancel.run_until_cancelled_owned(task.run()));
@@ -61,20 +61,20 @@
 }
 
 /// Ends the lease at a stop, so that others need not wait for it to lapse.
-pub(super) async fn release(cx: &Context, held: &HeldReceiver) {
+pub(super) async fn release(cx: &Context, held: &HeldLeasesReceiver) {
     let id = held.borrow().id;
     if let Some(id) = id {
-        let _ = cx.platform.revoke(id).await;
+        let _ = cx.kv.revoke(id).await;
     }
 }
 
 struct LeaseTask {
     cx: Context,
     me: HolderId,
-    held: Held,
+    held: HeldLeases,
     /// Since when a group's lease is seen free.
     free_since: BTreeMap<Name, Instant>,
-    tx: watch::Sender<Arc<Held>>,
+    tx: watch::Sender<Arc<HeldLeases>>,
 }
 
 impl LeaseTask {
@@ -102,7 +102,7 @@
 
     async fn renew(&mut self, now: Instant) {
         let Some(id) = self.held.id else { return };
-        match self.cx.platform.keep_alive(id).await {
+        match self.cx.kv.keep_alive(id).await {
             Ok(true) => self.held.lease.on_renewed(now),
             Ok(false) => {
                 log::warn!(groups = self.held.groups.len(); "leases lapsed");
@@ -117,7 +117,7 @@
 
     /// Returns the groups whose leases are free and should be taken now.
     fn wanted(&mut self, now: Instant) -> Vec<Name> {
-        let replica = self.cx.hub.replica();
+        let replica = self.cx.state.replica();
         let own = &self.cx.settings.failure_domain;
         let mut groups: BTreeSet<Name> =
             replica.vms.engines().map(|vm| vm.failure_domain.clone()).collect();
@@ -155,12 +155,12 @@
         let name = keys::lease_mark(group);
         let value = self.identity();
         // A write without an answer is settled by the marks: the key shows whose it is.
-        match self.cx.platform.put_if(&keys::mark(&name), value.clone().into(), 0, Some(id)).await {
+        match self.cx.kv.put_if(&keys::mark(&name), value.clone().into(), 0, Some(id)).await {
             Ok(PutAnswer::Written(revision)) => {
                 log::info!(group = &**group; "lease taken");
                 self.held.groups.insert(group.clone());
                 let value = Some(value.into());
-                self.cx.hub.add_mark(&name, Mark { revision, value });
+                self.cx.state.merge_mark(&name, Mark { revision, value });
             }
             Ok(PutAnswer::Conflict) => {
                 self.free_since.remove(group);
@@ -173,13 +173,15 @@
     /// Recognises a lease whose write took effect although its answer was lost.
     async fn adopt(&mut self, group: &Name) {
         let name = keys::lease_mark(group);
-        let Ok(Some(entry)) = self.cx.platform.get(&keys::mark(&name)).await else { return };
+        let Ok(Some(entry)) = self.cx.kv.get(&keys::mark(&name)).await else { return };
         let value = String::from_utf8_lossy(&entry.value).into_owned();
         if value == self.identity() {
             log::info!(group = &**group; "lease taken by a write whose answer was lost");
             self.held.groups.insert(group.clone());
         }
-        self.cx.hub.add_mark(&name, Mark { revision: entry.revision, value: Some(value.into()) });
+        self.cx
+            .state
+            .merge_mark(&name, Mark { revision: entry.revision, value: Some(value.into()) });
     }
 
     /// Names this process and its lease: a former process of this VM has another incarnation.
@@ -192,7 +194,7 @@
         if self.held.id.is_none() {
             let time_to_live = Duration::from_millis(self.cx.settings.lease_ttl_ms);
             self.held.lease.on_acquire_sent();
-            match self.cx.platform.grant_lease(time_to_live).await {
+            match self.cx.kv.grant_lease(time_to_live).await {
                 Ok(id) => {
                     self.held.lease.on_acquired(asked_at);
                     self.held.id = Some(id);
--- a/savoryport/src/control/mod.rs
+++ b/savoryport/src/control/mod.rs
@@ -5,13 +5,13 @@
 //! move.
 
 mod announce;
-mod hub;
+mod kv_client;
 mod leases;
 mod planner;
-mod platform;
-mod reader;
-mod relay;
-mod stewards;
+mod reconcile;
+mod replication;
+mod rpc_server;
+mod shared_state;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,8 +24,8 @@
 use thiserror::Error;
 use tokio_util::sync::CancellationToken;
 
-use self::hub::Hub;
-use self::platform::Platform;
+use self::kv_client::KvClient;
+use self::shared_state::SharedState;
 use crate::metrics::{ControlMetrics, PageError, serve_page};
 use crate::settings::Settings;
 
@@ -53,8 +53,8 @@
 struct Context {
     settings: Arc<Settings>,
     clock: Arc<dyn Clock>,
-    platform: Platform,
-    hub: Hub,
+    kv: KvClient,
+    state: SharedState,
     metrics: ControlMetrics,
 }
 
@@ -69,17 +69,17 @@
     let kv = Arc::new(EtcdClient::new(&settings.key_value, timeout));
     let cx = Context {
         clock: Arc::new(SystemClock),
-        platform: Platform::new(kv, metrics.platform_errors.clone()),
-        hub: hub::start(cancel.clone()),
+        kv: KvClient::new(kv, metrics.platform_errors.clone()),
+        state: shared_state::start(cancel.clone()),
         metrics,
         settings: Arc::new(settings),
     };
     // The address is taken first: it shows that the former process of this VM is gone.
-    relay::start(&cx, cancel.clone()).await?;
+    rpc_server::start(&cx, cancel.clone()).await?;
     let page_cx = cx.clone();
     let address = &cx.settings.control_metrics_listen;
     serve_page(address, cx.metrics.registry(), move || status(&page_cx), cancel.clone())?;
-    let reading = cancel.clone().run_until_cancelled_owned(reader::run(cx.clone())).map(drop);
+    let reading = cancel.clone().run_until_cancelled_owned(replication::run(cx.clone())).map(drop);
     let showing = cancel.clone().run_until_cancelled_owned(show_gauges(cx.clone())).map(drop);
     let mut tasks = vec![tokio::spawn(reading), tokio::spawn(showing)];
     let announced = cancel.run_until_cancelled(announce::announce(&cx)).await;
@@ -87,7 +87,7 @@
     log::info!(incarnation = me.incarnation; "announced");
     let held = leases::start(&cx, me.clone(), cancel.clone());
     let planning = planner::run(cx.clone(), held.clone());
-    let stewarding = stewards::run(cx.clone(), me, held.clone());
+    let stewarding = reconcile::run(cx.clone(), me, held.clone());
     tasks.push(tokio::spawn(cancel.clone().run_until_cancelled_owned(planning).map(drop)));
     tasks.push(tokio::spawn(cancel.clone().run_until_cancelled_owned(stewarding).map(drop)));
     cancel.cancelled().await;
@@ -101,7 +101,7 @@
 
 async fn show_gauges(cx: Context) {
     loop {
-        let replica = cx.hub.replica();
+        let replica = cx.state.replica();
         let metrics = &cx.metrics;
         metrics.table_version.set(replica.table.version as i64);
         metrics.plan_version.set(replica.plan.version as i64);
@@ -122,7 +122,7 @@
 }
 
 fn status(cx: &Context) -> serde_json::Value {
-    let replica = cx.hub.replica();
+    let replica = cx.state.replica();
     json!({
         "vm": cx.settings.vm,
         "reads_platform": cx.metrics.reading_platform.get() == 1,
--- a/savoryport/src/control/planner.rs
+++ b/savoryport/src/control/planner.rs
@@ -12,12 +12,12 @@
 use savoryport_platform::kv::{KvError, PutAnswer, Revision};
 
 use super::Context;
-use super::leases::HeldReceiver;
-use super::reader::read_demand;
+use super::leases::HeldLeasesReceiver;
+use super::replication::read_demand;
 use crate::keys;
 
 /// Runs until it is cancelled.
-pub(super) async fn run(cx: Context, held: HeldReceiver) {
+pub(super) async fn run(cx: Context, held: HeldLeasesReceiver) {
     let period = Duration::from_millis(cx.settings.plan_period_ms);
     let mut estimator = DemandEstimator::default();
     loop {
@@ -30,7 +30,7 @@
 }
 
 async fn make_plan(cx: &Context, estimator: &mut DemandEstimator) -> Result<(), KvError> {
-    let replica = cx.hub.replica();
+    let replica = cx.state.replica();
     if replica.table.version == 0 {
         return Ok(());
     }
@@ -54,15 +54,15 @@
     .await;
     let Ok(Some(next)) = next else { return Ok(()) };
     let value = serde_json::to_vec(&next).expect("plain values");
-    if let PutAnswer::Written(_) = cx.platform.put_if(keys::PLAN, value, revision, None).await? {
+    if let PutAnswer::Written(_) = cx.kv.put_if(keys::PLAN, value, revision, None).await? {
         log::info!(version = next.version; "plan made");
-        cx.hub.add(Update { plan: Some(next), ..Update::default() });
+        cx.state.merge(Update { plan: Some(next), ..Update::default() });
     }
     Ok(())
 }
 
 async fn read_plan(cx: &Context) -> Result<(Arc<Plan>, Revision), KvError> {
-    let Some(entry) = cx.platform.get(keys::PLAN).await? else { return Ok((Arc::default(), 0)) };
+    let Some(entry) = cx.kv.get(keys::PLAN).await? else { return Ok((Arc::default(), 0)) };
     let plan: Plan = serde_json::from_slice(&entry.value)
         .map_err(|err| KvError::Malformed(format!("plan: {err}")))?;
     Ok((Arc::new(plan), entry.revision))
--- a/savoryport/src/control/stewards.rs
+++ b/savoryport/src/control/reconcile.rs
@@ -17,7 +17,7 @@
 
 use super::Context;
 use super::announce::is_gone;
-use super::leases::HeldReceiver;
+use super::leases::HeldLeasesReceiver;
 use crate::keys;
 use crate::metrics::CauseLabels;
 
@@ -34,19 +34,19 @@
 const DOWN_AFTER: Duration = Duration::from_secs(3);
 
 /// Starts a task for each server of the groups held, until it is cancelled.
-pub(super) async fn run(cx: Context, me: HolderId, held: HeldReceiver) {
+pub(super) async fn run(cx: Context, me: HolderId, held: HeldLeasesReceiver) {
     let mut tasks = tokio::task::JoinSet::new();
     let mut known: HashMap<Name, tokio::task::AbortHandle> = HashMap::new();
     let mut slots: BTreeMap<Name, Arc<Semaphore>> = BTreeMap::new();
     loop {
         let groups = held.borrow().groups().clone();
-        let replica = cx.hub.replica();
+        let replica = cx.state.replica();
         for vm in replica.vms.engines().filter(|vm| groups.contains(&vm.failure_domain)) {
             let group = vm.failure_domain.clone();
             let slots =
                 slots.entry(group).or_insert_with_key(|group| load_slots(&cx, &replica, group));
             known.entry(vm.name.clone()).or_insert_with(|| {
-                let task = StewardTask::new(&cx, &me, &held, vm, slots);
+                let task = ReconcileTask::new(&cx, &me, &held, vm, slots);
                 tasks.spawn(task.run())
             });
         }
@@ -73,30 +73,30 @@
     Arc::new(Semaphore::new(share.max(1) as usize))
 }
 
-struct StewardTask {
+struct ReconcileTask {
     cx: Context,
-    held: HeldReceiver,
+    held: HeldLeasesReceiver,
     vm: Vm,
     engine: EngineClient,
-    steward: Reconciler,
+    reconciler: Reconciler,
     slots: Arc<Semaphore>,
     permit: Option<OwnedSemaphorePermit>,
     silent_since: Option<Instant>,
     is_marked_down: bool,
 }
 
-impl StewardTask {
+impl ReconcileTask {
     fn new(
         cx: &Context,
         me: &HolderId,
-        held: &HeldReceiver,
+        held: &HeldLeasesReceiver,
         vm: &Vm,
         slots: &Arc<Semaphore>,
     ) -> Self {
         let timeout = Duration::from_millis(cx.settings.order_timeout_ms);
         Self {
             engine: EngineClient::new(&vm.address, timeout),
-            steward: Reconciler::new(me.clone()),
+            reconciler: Reconciler::new(me.clone()),
             cx: cx.clone(),
             held: held.clone(),
             vm: vm.clone(),
@@ -121,21 +121,21 @@
     }
 
     fn may_act(&self) -> bool {
-        let has_plan = self.cx.hub.replica().plan.version > 0;
+        let has_plan = self.cx.state.replica().plan.version > 0;
         let now = self.cx.clock.now();
         has_plan && self.held.borrow().may_act(&self.vm.failure_domain, now)
     }
 
     fn decide(&mut self, may_act: bool) -> Step {
-        if self.permit.is_none() && !self.steward.has_pending_order() {
+        if self.permit.is_none() && !self.reconciler.has_pending_order() {
             self.permit = self.slots.clone().try_acquire_owned().ok();
         }
-        let replica = self.cx.hub.replica();
+        let replica = self.cx.state.replica();
         let server = &self.vm.name;
         let items = replica.plan.wanted(server, &replica.table);
         let may_unload = |item: &str| replica.may_unload(server, item);
         let is_gone = |holder: &HolderId| is_gone(&replica, holder);
-        let step = self.steward.next_step(&ReconcileInput {
+        let step = self.reconciler.next_step(&ReconcileInput {
             plan_version: replica.plan.version,
             items: &items,
             may_unload: &may_unload,
@@ -148,7 +148,7 @@
         };
         let needs_slot = match &step {
             Step::Write { record, .. } => is_load(record),
-            _ => self.steward.record().is_some_and(is_load),
+            _ => self.reconciler.record().is_some_and(is_load),
         };
         if !needs_slot {
             self.permit = None;
@@ -158,13 +158,13 @@
 
     async fn read(&mut self) {
         let key = keys::server(&self.vm.name);
-        match self.cx.platform.get(&key).await {
+        match self.cx.kv.get(&key).await {
             Ok(None) => {
                 let record = ServerRecord::new(self.vm.memory_mib, self.vm.checks_fencing);
-                self.steward.on_read(record, 0);
+                self.reconciler.on_read(record, 0);
             }
             Ok(Some(entry)) => match serde_json::from_slice(&entry.value) {
-                Ok(record) => self.steward.on_read(record, entry.revision),
+                Ok(record) => self.reconciler.on_read(record, entry.revision),
                 Err(err) => {
                     log::error!(server = &*self.vm.name, err:%; "ledger not readable");
                     tokio::time::sleep(RETRY_PAUSE).await;
@@ -177,9 +177,11 @@
     async fn write(&mut self, record: ServerRecord, revision: Revision) {
         let key = keys::server(&self.vm.name);
         let value = serde_json::to_vec(&record).expect("plain values");
-        let answer = match self.cx.platform.put_if(&key, value, revision, None).await {
+        let answer = match self.cx.kv.put_if(&key, value, revision, None).await {
             Ok(PutAnswer::Written(revision)) => {
-                self.cx.hub.add_residency(&self.vm.name, Residency::from_record(&record, revision));
+                self.cx
+                    .state
+                    .merge_residency(&self.vm.name, Residency::from_record(&record, revision));
                 WriteResult::Written(revision)
             }
             Ok(PutAnswer::Conflict) => {
@@ -191,7 +193,7 @@
                 WriteResult::Unknown
             }
         };
-        self.steward.on_write(record, answer);
+        self.reconciler.on_write(record, answer);
     }
 
     async fn send(&mut self, order: Order) {
@@ -200,11 +202,11 @@
             OrderKind::Unload => "unload",
         };
         self.cx.metrics.orders.get_or_create(&CauseLabels { cause }).inc();
-        self.steward.on_order_sent(&order);
+        self.reconciler.on_order_sent(&order);
         let (engine, sent) = (self.engine.clone(), order.clone());
         match tokio::task::spawn_blocking(move || engine.order(&sent)).await {
             Ok(Ok(answer)) => {
-                self.steward.on_order_response(&order, answer);
+                self.reconciler.on_order_response(&order, answer);
                 tokio::time::sleep(ORDER_PAUSE).await;
             }
             _ => {
@@ -218,7 +220,7 @@
         let engine = self.engine.clone();
         match tokio::task::spawn_blocking(move || engine.state()).await {
             Ok(Ok(state)) => {
-                self.steward.on_engine_state(state);
+                self.reconciler.on_engine_state(state);
                 self.note_answer().await;
             }
             _ => {
@@ -230,9 +232,9 @@
 
     async fn note_answer(&mut self) {
         self.silent_since = None;
-        if self.is_marked_down || self.cx.hub.replica().mark(&self.down_mark()).is_some() {
+        if self.is_marked_down || self.cx.state.replica().mark(&self.down_mark()).is_some() {
             log::info!(server = &*self.vm.name; "server answers again");
-            let cleared = self.cx.platform.set_mark(&self.cx.hub, &self.down_mark(), "").await;
+            let cleared = self.cx.kv.set_mark(&self.cx.state, &self.down_mark(), "").await;
             self.is_marked_down = cleared.is_err();
         }
     }
@@ -245,7 +247,7 @@
         }
         log::warn!(server = &*self.vm.name; "server does not answer");
         let (name, me) = (self.down_mark(), self.cx.settings.vm.clone());
-        self.is_marked_down = self.cx.platform.set_mark(&self.cx.hub, &name, &me).await.is_ok();
+        self.is_marked_down = self.cx.kv.set_mark(&self.cx.state, &name, &me).await.is_ok();
     }
 
     fn down_mark(&self) -> String {
@@ -255,16 +257,16 @@
     /// Waits for a change, or for the time to look at the engine again.
     async fn rest(&mut self, may_act: bool) {
         self.permit = None;
-        let mut changes = self.cx.hub.subscribe();
-        let plan_version = self.cx.hub.replica().plan.version;
+        let mut changes = self.cx.state.subscribe();
+        let plan_version = self.cx.state.replica().plan.version;
         let period = Duration::from_millis(self.cx.settings.steward_period_ms);
         let changed = changes.wait_for(|replica| replica.plan.version != plan_version);
         let _ = tokio::time::timeout(period, changed).await;
         if may_act {
-            self.steward.invalidate_engine_state();
+            self.reconciler.invalidate_engine_state();
         } else {
             // Somebody else may hold the lease: what was left behind is found in the record.
-            self.steward.invalidate();
+            self.reconciler.invalidate();
         }
     }
 }
--- a/savoryport/src/control/reader.rs
+++ b/savoryport/src/control/replication.rs
@@ -58,13 +58,13 @@
     let timeout = Duration::from_millis(cx.settings.platform_timeout_ms);
     let fetched = tokio::task::spawn_blocking(move || vms::fetch(&address, timeout)).await;
     if let Ok(Ok(list)) = fetched {
-        cx.hub.add(Update { vms: Some(list), ..Update::default() });
+        cx.state.merge(Update { vms: Some(list), ..Update::default() });
     }
 }
 
 /// Returns the control addresses of those that this process may follow, the best first.
 fn upstreams(cx: &Context) -> Vec<String> {
-    let replica = cx.hub.replica();
+    let replica = cx.state.replica();
     let settings = &cx.settings;
     let is_near = |vm: &&Vm| vm.failure_domain == settings.failure_domain && !vm.leaving;
     let mut domain: Vec<&Vm> = replica.vms.entries().filter(is_near).collect();
@@ -92,13 +92,13 @@
     loop {
         let demand = (cx.clock.now() >= tell_at).then(|| {
             tell_at = cx.clock.now() + DEMAND_PERIOD;
-            cx.hub.demand(cx.clock.now())
+            cx.state.total_demand(cx.clock.now())
         });
         match client.pull(PullRequest { demand, ..pull_request(cx) }).await {
             Ok(update) => {
-                let is_news = (*cx.hub.replica()).clone().merge(update.clone());
+                let is_news = (*cx.state.replica()).clone().merge(update.clone());
                 let is_repeated = !is_news && !update.is_empty();
-                cx.hub.add(update);
+                cx.state.merge(update);
                 if is_repeated {
                     // The other knows something beyond its own watermark; it will come level.
                     tokio::time::sleep(RETRY_PAUSE).await;
@@ -115,7 +115,7 @@
 fn pull_request(cx: &Context) -> PullRequest {
     PullRequest {
         vm: cx.settings.vm.clone(),
-        have: cx.hub.replica().versions(),
+        have: cx.state.replica().versions(),
         wait_ms: WAIT.as_millis() as u64,
         demand: None,
         entry: None,
@@ -124,20 +124,20 @@
 
 /// Reads the platform until it fails, or an earlier VM of the domain is back.
 async fn read_platform(cx: &Context) {
-    let (entries, mut revision) = match cx.platform.list(keys::PREFIX).await {
+    let (entries, mut revision) = match cx.kv.list(keys::PREFIX).await {
         Ok(listed) => listed,
         Err(_) => return ask_peers(cx).await,
     };
     let update = update_of(entries.into_iter().map(Event::Put));
-    cx.hub.add(cx.hub.replica().add_removed_marks(Update { seen: revision, ..update }));
+    cx.state.merge(cx.state.replica().add_removed_marks(Update { seen: revision, ..update }));
     log::info!(revision; "reading the platform");
     let beside = tokio::spawn(read_beside(cx.clone()));
     let mut look_at = cx.clock.now() + UPSTREAM_PERIOD;
     loop {
-        match cx.platform.watch(keys::PREFIX, revision, WAIT).await {
+        match cx.kv.watch(keys::PREFIX, revision, WAIT).await {
             Ok(events) => {
                 revision = events.iter().map(event_revision).fold(revision, Revision::max);
-                cx.hub.add(Update { seen: revision, ..update_of(events.into_iter()) });
+                cx.state.merge(Update { seen: revision, ..update_of(events.into_iter()) });
             }
             Err(err) => {
                 log::warn!(err:%; "platform lost; going on with what is known");
@@ -170,15 +170,15 @@
 
 async fn write_demand(cx: &Context) -> Result<PutAnswer, KvError> {
     let key = format!("{}{}", keys::DEMAND, cx.settings.failure_domain);
-    let demand = cx.hub.demand(cx.clock.now());
+    let demand = cx.state.total_demand(cx.clock.now());
     let value = serde_json::to_vec(&demand).expect("plain values");
-    let revision = cx.platform.get(&key).await?.map_or(0, |entry| entry.revision);
-    cx.platform.put_if(&key, value, revision, None).await
+    let revision = cx.kv.get(&key).await?.map_or(0, |entry| entry.revision);
+    cx.kv.put_if(&key, value, revision, None).await
 }
 
 /// Asks other processes once for what they know, while the platform cannot be asked.
 async fn ask_peers(cx: &Context) {
-    let replica = cx.hub.replica();
+    let replica = cx.state.replica();
     let listed = replica.vms.entries().filter_map(|vm| vm.control_address.as_ref());
     let own = &cx.settings.control_listen;
     let addresses = cx.settings.peers.iter().cloned().chain(listed.map(ToString::to_string));
@@ -186,7 +186,7 @@
         let Ok(client) = ControlClient::connect(&address).await else { continue };
         let req = PullRequest { wait_ms: 0, ..pull_request(cx) };
         if let Ok(update) = client.pull(req).await {
-            cx.hub.add(update);
+            cx.state.merge(update);
         }
     }
     tokio::time::sleep(RETRY_PAUSE).await;
@@ -235,7 +235,7 @@
 
 /// Returns the demand written by all failure domains, added up by model.
 pub(super) async fn read_demand(cx: &Context) -> Result<BTreeMap<Name, f64>, KvError> {
-    let (entries, _) = cx.platform.list(keys::DEMAND).await?;
+    let (entries, _) = cx.kv.list(keys::DEMAND).await?;
     let mut total = BTreeMap::new();
     for entry in entries {
         let demand: Vec<(Name, f64)> = serde_json::from_slice(&entry.value).unwrap_or_default();
--- a/savoryport/src/control/relay.rs
+++ b/savoryport/src/control/rpc_server.rs
@@ -16,19 +16,19 @@
 const MAX_WAIT: Duration = Duration::from_secs(10);
 
 #[derive(Clone)]
-struct RelayServer {
+struct RpcServer {
     cx: Context,
 }
 
-impl Relay for RelayServer {
+impl Relay for RpcServer {
     async fn pull(self, _: context::Context, req: PullRequest) -> Update {
         if let Some(demand) = req.demand {
-            self.cx.hub.note_demand(&req.vm, demand, self.cx.clock.now());
+            self.cx.state.record_demand(&req.vm, demand, self.cx.clock.now());
         }
         if let Some(entry) = req.entry.filter(|_| req.vm == self.cx.settings.vm) {
-            self.cx.hub.note_entry(entry);
+            self.cx.state.set_entry_status(entry);
         }
-        let mut changes = self.cx.hub.subscribe();
+        let mut changes = self.cx.state.subscribe();
         let wait = Duration::from_millis(req.wait_ms).min(MAX_WAIT);
         let news = async {
             loop {
@@ -45,8 +45,8 @@
         NodeStatus {
             vm: self.cx.settings.vm.clone(),
             failure_domain: self.cx.settings.failure_domain.clone(),
-            versions: self.cx.hub.replica().versions(),
-            entry: self.cx.hub.entry(),
+            versions: self.cx.state.replica().versions(),
+            entry: self.cx.state.entry_status(),
         }
     }
 }
@@ -56,7 +56,7 @@
     let address = cx.settings.control_listen.clone();
     let listening = tarpc::serde_transport::tcp::listen(&*address, Json::default).await;
     let mut listener = listening.map_err(|err| ControlError::Listen { address, err })?;
-    let server = RelayServer { cx: cx.clone() };
+    let server = RpcServer { cx: cx.clone() };
     tokio::spawn(cancel.clone().run_until_cancelled_owned(async move {
         while let Some(connection) = listener.next().await {
             let Ok(transport) = connection else { continue };
--- a/savoryport/src/control/hub.rs
+++ b/savoryport/src/control/shared_state.rs
@@ -19,7 +19,7 @@
 
 /// The way to the task.
 #[derive(Clone)]
-pub(super) struct Hub {
+pub(super) struct SharedState {
     tx: mpsc::UnboundedSender<Update>,
     rx: watch::Receiver<Arc<Replica>>,
     demand: Arc<Mutex<HashMap<Name, Told>>>,
@@ -27,7 +27,7 @@
 }
 
 /// Starts the task.
-pub(super) fn start(cancel: CancellationToken) -> Hub {
+pub(super) fn start(cancel: CancellationToken) -> SharedState {
     let (tx, mut updates) = mpsc::unbounded_channel::<Update>();
     let (publish, rx) = watch::channel(Arc::new(Replica::default()));
     tokio::spawn(cancel.run_until_cancelled_owned(async move {
@@ -43,10 +43,10 @@
             }
         }
     }));
-    Hub { tx, rx, demand: Arc::default(), entry: Arc::default() }
+    SharedState { tx, rx, demand: Arc::default(), entry: Arc::default() }
 }
 
-impl Hub {
+impl SharedState {
     /// Returns what is known now.
     pub(super) fn replica(&self) -> Arc<Replica> {
         self.rx.borrow().clone()
@@ -58,40 +58,40 @@
     }
 
     /// Adds news; what is older than known is ignored.
-    pub(super) fn add(&self, update: Update) {
+    pub(super) fn merge(&self, update: Update) {
         // Only a stop ends the task.
         let _ = self.tx.send(update);
     }
 
     /// Adds the state of one server.
-    pub(super) fn add_residency(&self, server: &Name, residency: Residency) {
+    pub(super) fn merge_residency(&self, server: &Name, residency: Residency) {
         let residency = BTreeMap::from([(server.clone(), residency)]);
-        self.add(Update { residency, ..Update::default() });
+        self.merge(Update { residency, ..Update::default() });
     }
 
     /// Adds a mark.
-    pub(super) fn add_mark(&self, name: &str, mark: Mark) {
+    pub(super) fn merge_mark(&self, name: &str, mark: Mark) {
         let marks = BTreeMap::from([(name.into(), mark)]);
-        self.add(Update { marks, ..Update::default() });
+        self.merge(Update { marks, ..Update::default() });
     }
 
     /// Notes the demand that a follower told.
-    pub(super) fn note_demand(&self, vm: &Name, demand: Vec<(Name, f64)>, now: Instant) {
+    pub(super) fn record_demand(&self, vm: &Name, demand: Vec<(Name, f64)>, now: Instant) {
         self.demand.lock().expect("no holder panics").insert(vm.clone(), (now, demand));
     }
 
     /// Notes what the entry of this VM counted.
-    pub(super) fn note_entry(&self, entry: EntryStatus) {
+    pub(super) fn set_entry_status(&self, entry: EntryStatus) {
         *self.entry.lock().expect("no holder panics") = Some(entry);
     }
 
     /// Returns what the entry of this VM counted, as last told.
-    pub(super) fn entry(&self) -> Option<EntryStatus> {
+    pub(super) fn entry_status(&self) -> Option<EntryStatus> {
         self.entry.lock().expect("no holder panics").clone()
     }
 
     /// Returns the demand of all followers, by model.
-    pub(super) fn demand(&self, now: Instant) -> Vec<(Name, f64)> {
+    pub(super) fn total_demand(&self, now: Instant) -> Vec<(Name, f64)> {
         let mut told = self.demand.lock().expect("no holder panics");
         told.retain(|_, (at, _)| now.saturating_duration_since(*at) < DEMAND_LIFETIME);
         let mut total: BTreeMap<Name, f64> = BTreeMap::new();
