--- a/savoryport/src/control/announce.rs
+++ b/savoryport/src/control/announce.rs
@@ -1,8 +1,9 @@
-//! Makes this process known before it acts.
+//! Announces this control process in the key-value service before it acts.
 //!
 //! The incarnation of a control process is the key-value service's revision of its announcement, so
-//! two processes of one VM have an order that everybody sees alike: where a later announcement
-//! stands, the earlier process has ended, since the later one could take its address.
+//! every node sees the successive processes of a VM in the same order. An announcement also shows
+//! that earlier processes of the VM have ended, since its process could bind their listening
+//! address.
 
 use std::time::Duration;
 
@@ -12,33 +13,37 @@
 use super::Context;
 use crate::keys;
 
-/// The pause between two tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// The delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Announces this process once the platform lists its VM, and returns its identity.
+/// Announces this process as soon as the platform lists its VM, and returns its identity.
 pub(super) async fn announce(cx: &Context) -> HolderId {
     let vm = cx.settings.vm.clone();
-    let name = keys::control_mark(&vm);
+    let mark_name = keys::control_mark(&vm);
     loop {
         let vms = cx.state.replica().vms.clone();
         if vms.get(&vm).is_some() {
-            // The version of the list tells a VM that left it from one that had yet to enter.
-            let value = vms.version.to_string();
-            if let Ok(Some(incarnation)) = cx.kv.set_mark(&cx.state, &name, &value).await {
+            // With the version of the list, `is_gone` can tell a VM that was removed from the list
+            // from one that a node's older list does not contain yet.
+            let list_version = vms.version.to_string();
+            if let Ok(Some(incarnation)) =
+                cx.kv.set_mark(&cx.state, &mark_name, &list_version).await
+            {
                 return HolderId { vm, incarnation };
             }
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Returns whether a process is known to have ended.
+/// Returns whether a control process is known to have ended.
 pub(super) fn is_gone(replica: &Replica, holder: &HolderId) -> bool {
     let Some(mark) = replica.marks.get(&*keys::control_mark(&holder.vm)) else { return false };
     if mark.revision > holder.incarnation {
         return true;
     }
-    let listed_at = mark.value.as_ref().and_then(|value| value.parse::<u64>().ok());
-    let is_later_list = listed_at.is_some_and(|version| replica.vms.version > version);
-    is_later_list && replica.vms.get(&holder.vm).is_none()
+    let announced_list_version = mark.value.as_ref().and_then(|value| value.parse::<u64>().ok());
+    let has_newer_list =
+        announced_list_version.is_some_and(|version| replica.vms.version > version);
+    has_newer_list && replica.vms.get(&holder.vm).is_none()
 }
--- a/savoryport/src/control/kv_client.rs
+++ b/savoryport/src/control/kv_client.rs
@@ -1,4 +1,4 @@
-//! Calls of the key-value service from tasks, with its failures counted.
+//! An asynchronous client of the key-value service that counts failed calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,26 +12,26 @@
 use super::shared_state::SharedState;
 use crate::keys;
 
-/// The key-value service as tasks use it.
+/// Runs the calls of the blocking etcd client on the blocking thread pool.
 #[derive(Clone)]
 pub(super) struct KvClient {
-    kv: Arc<EtcdClient>,
-    errors: Counter,
+    client: Arc<EtcdClient>,
+    error_count: Counter,
 }
 
 impl KvClient {
-    pub(super) fn new(kv: Arc<EtcdClient>, errors: Counter) -> Self {
-        Self { kv, errors }
+    pub(super) fn new(client: Arc<EtcdClient>, error_count: Counter) -> Self {
+        Self { client, error_count }
     }
 
     pub(super) async fn get(&self, key: &str) -> Result<Option<Entry>, KvError> {
         let key = key.to_owned();
-        self.call(move |kv| kv.get(&key)).await
+        self.call(move |client| client.get(&key)).await
     }
 
     pub(super) async fn list(&self, prefix: &str) -> Result<(Vec<Entry>, Revision), KvError> {
         let prefix = prefix.to_owned();
-        self.call(move |kv| kv.list(&prefix)).await
+        self.call(move |client| client.list(&prefix)).await
     }
 
     pub(super) async fn put_if(
@@ -42,19 +42,19 @@
         lease: Option<LeaseId>,
     ) -> Result<PutAnswer, KvError> {
         let key = key.to_owned();
-        self.call(move |kv| kv.put_if(&key, &value, expected, lease)).await
+        self.call(move |client| client.put_if(&key, &value, expected, lease)).await
     }
 
     pub(super) async fn grant_lease(&self, time_to_live: Duration) -> Result<LeaseId, KvError> {
-        self.call(move |kv| kv.grant_lease(time_to_live)).await
+        self.call(move |client| client.grant_lease(time_to_live)).await
     }
 
     pub(super) async fn keep_alive(&self, lease: LeaseId) -> Result<bool, KvError> {
-        self.call(move |kv| kv.keep_alive(lease)).await
+        self.call(move |client| client.keep_alive(lease)).await
     }
 
     pub(super) async fn revoke(&self, lease: LeaseId) -> Result<(), KvError> {
-        self.call(move |kv| kv.revoke(lease)).await
+        self.call(move |client| client.revoke(lease)).await
     }
 
     pub(super) async fn watch(
@@ -64,11 +64,12 @@
         wait: Duration,
     ) -> Result<Vec<Event>, KvError> {
         let prefix = prefix.to_owned();
-        self.call(move |kv| kv.watch(&prefix, after, wait)).await
+        self.call(move |client| client.watch(&prefix, after, wait)).await
     }
 
-    /// Writes a mark, whatever stands there, and tells this process at once; returns its revision,
-    /// or `None` where somebody else wrote meanwhile.
+    /// Sets a mark whatever its current value, or clears it if the value is empty, and adds the
+    /// change to this process's replica at once. Returns the new revision, or `None` if another
+    /// process wrote the mark at the same time.
     pub(super) async fn set_mark(
         &self,
         state: &SharedState,
@@ -76,9 +77,9 @@
         value: &str,
     ) -> Result<Option<Revision>, KvError> {
         let key = keys::mark(name);
-        let current = self.get(&key).await?.map_or(0, |entry| entry.revision);
-        let written = self.put_if(&key, value.as_bytes().to_vec(), current, None).await?;
-        let PutAnswer::Written(revision) = written else { return Ok(None) };
+        let current_revision = self.get(&key).await?.map_or(0, |entry| entry.revision);
+        let result = self.put_if(&key, value.as_bytes().to_vec(), current_revision, None).await?;
+        let PutAnswer::Written(revision) = result else { return Ok(None) };
         let value = (!value.is_empty()).then(|| value.into());
         state.merge_mark(name, Mark { revision, value });
         Ok(Some(revision))
@@ -86,15 +87,15 @@
 
     async fn call<T: Send + 'static>(
         &self,
-        call: impl FnOnce(&EtcdClient) -> Result<T, KvError> + Send + 'static,
+        operation: impl FnOnce(&EtcdClient) -> Result<T, KvError> + Send + 'static,
     ) -> Result<T, KvError> {
-        let kv = self.kv.clone();
-        let answered = tokio::task::spawn_blocking(move || call(&kv))
+        let client = self.client.clone();
+        let result = tokio::task::spawn_blocking(move || operation(&client))
             .await
             .unwrap_or_else(|err| Err(KvError::Unanswered(err.to_string())));
-        if answered.is_err() {
-            self.errors.inc();
+        if result.is_err() {
+            self.error_count.inc();
         }
-        answered
+        result
     }
 }
--- a/savoryport/src/control/mod.rs
+++ b/savoryport/src/control/mod.rs
@@ -1,8 +1,8 @@
-//! The control process: holds leases on groups of servers, keeps the memory ledgers, gives orders to
-//! engines, and relays the table and what stands where.
+//! The control process: holds leases on groups of servers, keeps the servers' memory ledgers, sends
+//! load and unload orders to engines, and replicates the table and the state of the servers.
 //!
-//! No request waits for it. Without the key-value service it serves what it knows and starts no
-//! move.
+//! No request waits for the control process. While the key-value service is unavailable, the process
+//! serves the state that it has and starts no loads or unloads.
 
 mod announce;
 mod kv_client;
@@ -29,26 +29,26 @@
 use crate::metrics::{ControlMetrics, PageError, serve_page};
 use crate::settings::Settings;
 
-/// How often the gauges are brought up to date.
+/// How often the gauges are updated.
 const GAUGE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Why the control process stops before it is asked to.
+/// An error that prevents the control process from running.
 #[derive(Debug, Error)]
 pub enum ControlError {
-    /// The address for other processes cannot be listened on.
+    /// Listening on the address for other processes failed.
     #[error("cannot listen on {address}: {err}")]
     Listen {
         /// The address.
         address: String,
-        /// The operating system's words.
+        /// The error of the operating system.
         err: std::io::Error,
     },
-    /// The metrics page cannot be served.
+    /// Listening on the address of the metrics page failed.
     #[error(transparent)]
     Page(#[from] PageError),
 }
 
-/// What every task needs.
+/// The state that every task of the control process uses.
 #[derive(Clone)]
 struct Context {
     settings: Arc<Settings>,
@@ -62,44 +62,46 @@
 ///
 /// # Errors
 ///
-/// Returns an error where an address cannot be listened on.
+/// Returns an error if the process cannot listen on one of its addresses.
 pub async fn run(settings: Settings, cancel: CancellationToken) -> Result<(), ControlError> {
     let timeout = Duration::from_millis(settings.platform_timeout_ms);
     let metrics = ControlMetrics::default();
-    let kv = Arc::new(EtcdClient::new(&settings.key_value, timeout));
+    let etcd = Arc::new(EtcdClient::new(&settings.key_value, timeout));
     let cx = Context {
         clock: Arc::new(SystemClock),
-        kv: KvClient::new(kv, metrics.platform_errors.clone()),
+        kv: KvClient::new(etcd, metrics.platform_errors.clone()),
         state: shared_state::start(cancel.clone()),
         metrics,
         settings: Arc::new(settings),
     };
-    // The address is taken first: it shows that the former process of this VM is gone.
+    // The process binds its address first: success shows that the previous process of this VM has
+    // ended.
     rpc_server::start(&cx, cancel.clone()).await?;
-    let page_cx = cx.clone();
+    let status_cx = cx.clone();
     let address = &cx.settings.control_metrics_listen;
-    serve_page(address, cx.metrics.registry(), move || status(&page_cx), cancel.clone())?;
-    let reading = cancel.clone().run_until_cancelled_owned(replication::run(cx.clone())).map(drop);
-    let showing = cancel.clone().run_until_cancelled_owned(show_gauges(cx.clone())).map(drop);
-    let mut tasks = vec![tokio::spawn(reading), tokio::spawn(showing)];
+    serve_page(address, cx.metrics.registry(), move || status(&status_cx), cancel.clone())?;
+    let replicating =
+        cancel.clone().run_until_cancelled_owned(replication::run(cx.clone())).map(drop);
+    let gauges = cancel.clone().run_until_cancelled_owned(update_gauges(cx.clone())).map(drop);
+    let mut tasks = vec![tokio::spawn(replicating), tokio::spawn(gauges)];
     let announced = cancel.run_until_cancelled(announce::announce(&cx)).await;
-    let Some(me) = announced else { return Ok(()) };
-    log::info!(incarnation = me.incarnation; "announced");
-    let held = leases::start(&cx, me.clone(), cancel.clone());
-    let planning = planner::run(cx.clone(), held.clone());
-    let stewarding = reconcile::run(cx.clone(), me, held.clone());
+    let Some(own_id) = announced else { return Ok(()) };
+    log::info!(incarnation = own_id.incarnation; "announced this process");
+    let held_leases = leases::start(&cx, own_id.clone(), cancel.clone());
+    let planning = planner::run(cx.clone(), held_leases.clone());
+    let reconciling = reconcile::run(cx.clone(), own_id, held_leases.clone());
     tasks.push(tokio::spawn(cancel.clone().run_until_cancelled_owned(planning).map(drop)));
-    tasks.push(tokio::spawn(cancel.clone().run_until_cancelled_owned(stewarding).map(drop)));
+    tasks.push(tokio::spawn(cancel.clone().run_until_cancelled_owned(reconciling).map(drop)));
     cancel.cancelled().await;
     for task in tasks {
         let _ = task.await;
     }
-    leases::release(&cx, &held).await;
-    log::info!("control stopped");
+    leases::release(&cx, &held_leases).await;
+    log::info!("control process stopped");
     Ok(())
 }
 
-async fn show_gauges(cx: Context) {
+async fn update_gauges(cx: Context) {
     loop {
         let replica = cx.state.replica();
         let metrics = &cx.metrics;
@@ -107,13 +109,13 @@
         metrics.plan_version.set(replica.plan.version as i64);
         let retained = replica.residency.values().map(|r| i64::from(r.memory.retained_mib)).sum();
         metrics.retained_mib.set(retained);
-        metrics.unreachable_models.set(unreachable(&replica).len() as i64);
+        metrics.unreachable_models.set(unreachable_items(&replica).len() as i64);
         tokio::time::sleep(GAUGE_PERIOD).await;
     }
 }
 
-/// Returns the models and adapters of the table that no server has in memory.
-fn unreachable(replica: &savoryport_core::replica::Replica) -> Vec<savoryport_core::Name> {
+/// Returns the models and adapters of the table that no server has loaded.
+fn unreachable_items(replica: &savoryport_core::replica::Replica) -> Vec<savoryport_core::Name> {
     let is_loaded = |name: &savoryport_core::Name| {
         replica.residency.values().any(|residency| residency.loaded.contains(name))
     };
@@ -130,6 +132,6 @@
         "plan_version": replica.plan.version,
         "marks": replica.marks,
         "residency": replica.residency,
-        "unreachable": unreachable(&replica),
+        "unreachable": unreachable_items(&replica),
     })
 }
--- a/savoryport/src/control/planner.rs
+++ b/savoryport/src/control/planner.rs
@@ -1,4 +1,4 @@
-//! Makes plans while this process holds the planner's lease.
+//! Computes the placement plan while this process holds the planner lease.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,47 +16,47 @@
 use super::replication::read_demand;
 use crate::keys;
 
-/// Runs until it is cancelled.
-pub(super) async fn run(cx: Context, held: HeldLeasesReceiver) {
+/// Computes and stores plans periodically until it is cancelled.
+pub(super) async fn run(cx: Context, held_leases: HeldLeasesReceiver) {
     let period = Duration::from_millis(cx.settings.plan_period_ms);
     let mut estimator = DemandEstimator::default();
     loop {
-        let may_act = held.borrow().may_act(keys::PLANNER_GROUP, cx.clock.now());
-        if may_act && let Err(err) = make_plan(&cx, &mut estimator).await {
-            log::debug!(err:%; "no plan made");
+        let may_act = held_leases.borrow().may_act(keys::PLANNER_GROUP, cx.clock.now());
+        if may_act && let Err(err) = update_plan(&cx, &mut estimator).await {
+            log::debug!(err:%; "cannot update the plan");
         }
         tokio::time::sleep(period).await;
     }
 }
 
-async fn make_plan(cx: &Context, estimator: &mut DemandEstimator) -> Result<(), KvError> {
+async fn update_plan(cx: &Context, estimator: &mut DemandEstimator) -> Result<(), KvError> {
     let replica = cx.state.replica();
     if replica.table.version == 0 {
         return Ok(());
     }
-    let observed: HashMap<Name, f64> = read_demand(cx).await?.into_iter().collect();
-    let demand = estimator.observe(&observed, cx.clock.now());
+    let observed_demand: HashMap<Name, f64> = read_demand(cx).await?.into_iter().collect();
+    let estimated_demand = estimator.observe(&observed_demand, cx.clock.now());
     let (current, revision) = read_plan(cx).await?;
-    let servers = planned_servers(&replica);
+    let servers = available_servers(&replica);
     let move_budget = cx.settings.move_budget;
     let table = replica.table.clone();
-    let next = tokio::task::spawn_blocking(move || {
+    let new_plan = tokio::task::spawn_blocking(move || {
         let input = PlacementInput {
             table: &table,
             servers: &servers,
-            demand: &demand,
+            demand: &estimated_demand,
             current: &current,
             move_budget,
         };
-        let next = compute_plan(&input);
-        (next.version > current.version).then_some(next)
+        let new_plan = compute_plan(&input);
+        (new_plan.version > current.version).then_some(new_plan)
     })
     .await;
-    let Ok(Some(next)) = next else { return Ok(()) };
-    let value = serde_json::to_vec(&next).expect("plain values");
+    let Ok(Some(new_plan)) = new_plan else { return Ok(()) };
+    let value = serde_json::to_vec(&new_plan).expect("a plan can be serialized");
     if let PutAnswer::Written(_) = cx.kv.put_if(keys::PLAN, value, revision, None).await? {
-        log::info!(version = next.version; "plan made");
-        cx.state.merge(Update { plan: Some(next), ..Update::default() });
+        log::info!(version = new_plan.version; "stored a new plan");
+        cx.state.merge(Update { plan: Some(new_plan), ..Update::default() });
     }
     Ok(())
 }
@@ -68,9 +68,11 @@
     Ok((Arc::new(plan), entry.revision))
 }
 
-/// Returns the servers that may be planned for: those that stay and answer.
-fn planned_servers(replica: &Replica) -> Vec<ServerCapacity> {
-    let is_out = |vm: &Vm| {
+/// Returns the servers that models may be placed on: those that are not being removed or drained
+/// and whose engine responds. Memory that is retained for orders that may still arrive is left out
+/// of their capacity.
+fn available_servers(replica: &Replica) -> Vec<ServerCapacity> {
+    let is_unavailable = |vm: &Vm| {
         vm.leaving
             || replica.mark(&keys::drain_mark(&vm.name)).is_some()
             || replica.mark(&keys::down_mark(&vm.name)).is_some()
@@ -78,7 +80,7 @@
     replica
         .vms
         .engines()
-        .filter(|vm| !is_out(vm))
+        .filter(|vm| !is_unavailable(vm))
         .map(|vm| {
             let retained = replica.residency.get(&vm.name).map_or(0, |r| r.memory.retained_mib);
             ServerCapacity {
--- a/savoryport/src/control/rpc_server.rs
+++ b/savoryport/src/control/rpc_server.rs
@@ -1,4 +1,4 @@
-//! Serves what this process knows to the entry beside it and to other control processes.
+//! Serves the replica of the fleet's state to the entry on this VM and to other control processes.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use super::{Context, ControlError};
 use crate::rpc::{NodeStatus, PullRequest, Relay};
 
-/// The longest that one call is kept waiting.
+/// The maximum time that a pull waits for changes.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 
 #[derive(Clone)]
@@ -25,20 +25,20 @@
         if let Some(demand) = req.demand {
             self.cx.state.record_demand(&req.vm, demand, self.cx.clock.now());
         }
-        if let Some(entry) = req.entry.filter(|_| req.vm == self.cx.settings.vm) {
-            self.cx.state.set_entry_status(entry);
+        if let Some(status) = req.entry.filter(|_| req.vm == self.cx.settings.vm) {
+            self.cx.state.set_entry_status(status);
         }
-        let mut changes = self.cx.state.subscribe();
-        let wait = Duration::from_millis(req.wait_ms).min(MAX_WAIT);
-        let news = async {
+        let mut replica_rx = self.cx.state.subscribe();
+        let timeout = Duration::from_millis(req.wait_ms).min(MAX_WAIT);
+        let next_update = async {
             loop {
-                let update = changes.borrow_and_update().update_for(&req.have);
-                if !update.is_empty() || changes.changed().await.is_err() {
+                let update = replica_rx.borrow_and_update().update_for(&req.have);
+                if !update.is_empty() || replica_rx.changed().await.is_err() {
                     return update;
                 }
             }
         };
-        tokio::time::timeout(wait, news).await.unwrap_or_default()
+        tokio::time::timeout(timeout, next_update).await.unwrap_or_default()
     }
 
     async fn status(self, _: context::Context) -> NodeStatus {
@@ -51,18 +51,18 @@
     }
 }
 
-/// Starts listening.
+/// Starts listening for calls.
 pub(super) async fn start(cx: &Context, cancel: CancellationToken) -> Result<(), ControlError> {
     let address = cx.settings.control_listen.clone();
-    let listening = tarpc::serde_transport::tcp::listen(&*address, Json::default).await;
-    let mut listener = listening.map_err(|err| ControlError::Listen { address, err })?;
+    let listen_result = tarpc::serde_transport::tcp::listen(&*address, Json::default).await;
+    let mut listener = listen_result.map_err(|err| ControlError::Listen { address, err })?;
     let server = RpcServer { cx: cx.clone() };
     tokio::spawn(cancel.clone().run_until_cancelled_owned(async move {
         while let Some(connection) = listener.next().await {
             let Ok(transport) = connection else { continue };
             let requests = BaseChannel::with_defaults(transport).execute(server.clone().serve());
-            let serving = requests.for_each_concurrent(None, |answer| answer);
-            tokio::spawn(cancel.clone().run_until_cancelled_owned(serving));
+            let serve_requests = requests.for_each_concurrent(None, |handler| handler);
+            tokio::spawn(cancel.clone().run_until_cancelled_owned(serve_requests));
         }
     }));
     Ok(())
--- a/savoryport/src/control/shared_state.rs
+++ b/savoryport/src/control/shared_state.rs
@@ -1,4 +1,7 @@
-//! The task that owns what this process knows, and tells the others when it changes.
+//! State that the tasks of this process share: the replica of the fleet's state, the demand that
+//! followers reported, and the status of this VM's entry.
+//!
+//! One task merges all updates into the replica and publishes it to the other tasks.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -11,92 +14,101 @@
 
 use crate::rpc::EntryStatus;
 
-/// How long the demand of a follower counts after it was last told.
-const DEMAND_LIFETIME: Duration = Duration::from_secs(15);
+/// How long the demand that a follower reported stays valid.
+const DEMAND_TTL: Duration = Duration::from_secs(15);
 
-/// What a follower told: when, and the demand in slots by model.
-type Told = (Instant, Vec<(Name, f64)>);
+/// The time of a follower's last report, and the demand in slots by model.
+type DemandReport = (Instant, Vec<(Name, f64)>);
 
-/// The way to the task.
+/// A handle to the shared state.
 #[derive(Clone)]
 pub(super) struct SharedState {
-    tx: mpsc::UnboundedSender<Update>,
-    rx: watch::Receiver<Arc<Replica>>,
-    demand: Arc<Mutex<HashMap<Name, Told>>>,
-    entry: Arc<Mutex<Option<EntryStatus>>>,
+    update_tx: mpsc::UnboundedSender<Update>,
+    replica_rx: watch::Receiver<Arc<Replica>>,
+    follower_demand: Arc<Mutex<HashMap<Name, DemandReport>>>,
+    entry_status: Arc<Mutex<Option<EntryStatus>>>,
 }
 
-/// Starts the task.
+/// Starts the task that merges updates, and returns the handle.
 pub(super) fn start(cancel: CancellationToken) -> SharedState {
-    let (tx, mut updates) = mpsc::unbounded_channel::<Update>();
-    let (publish, rx) = watch::channel(Arc::new(Replica::default()));
+    let (update_tx, mut update_rx) = mpsc::unbounded_channel::<Update>();
+    let (replica_tx, replica_rx) = watch::channel(Arc::new(Replica::default()));
     tokio::spawn(cancel.run_until_cancelled_owned(async move {
         let mut replica = Replica::default();
-        while let Some(update) = updates.recv().await {
+        while let Some(update) = update_rx.recv().await {
             let mut changed = replica.merge(update);
-            // Followers copy the whole replica, so what came together is published once.
-            while let Ok(update) = updates.try_recv() {
+            // Publishing copies the whole replica, so all waiting updates are merged first.
+            while let Ok(update) = update_rx.try_recv() {
                 changed |= replica.merge(update);
             }
             if changed {
-                publish.send_replace(Arc::new(replica.clone()));
+                replica_tx.send_replace(Arc::new(replica.clone()));
             }
         }
     }));
-    SharedState { tx, rx, demand: Arc::default(), entry: Arc::default() }
+    SharedState {
+        update_tx,
+        replica_rx,
+        follower_demand: Arc::default(),
+        entry_status: Arc::default(),
+    }
 }
 
 impl SharedState {
-    /// Returns what is known now.
+    /// Returns the current replica.
     pub(super) fn replica(&self) -> Arc<Replica> {
-        self.rx.borrow().clone()
+        self.replica_rx.borrow().clone()
     }
 
-    /// Returns a receiver that shows every change.
+    /// Returns a receiver that is notified of every change of the replica.
     pub(super) fn subscribe(&self) -> watch::Receiver<Arc<Replica>> {
-        self.rx.clone()
+        self.replica_rx.clone()
     }
 
-    /// Adds news; what is older than known is ignored.
+    /// Merges an update into the replica; parts older than the replica's are ignored.
     pub(super) fn merge(&self, update: Update) {
-        // Only a stop ends the task.
-        let _ = self.tx.send(update);
+        // Sending fails only after the task was cancelled at shutdown.
+        let _ = self.update_tx.send(update);
     }
 
-    /// Adds the state of one server.
+    /// Merges the state of one server.
     pub(super) fn merge_residency(&self, server: &Name, residency: Residency) {
         let residency = BTreeMap::from([(server.clone(), residency)]);
         self.merge(Update { residency, ..Update::default() });
     }
 
-    /// Adds a mark.
+    /// Merges a mark.
     pub(super) fn merge_mark(&self, name: &str, mark: Mark) {
         let marks = BTreeMap::from([(name.into(), mark)]);
         self.merge(Update { marks, ..Update::default() });
     }
 
-    /// Notes the demand that a follower told.
+    /// Records the demand that a follower reported.
     pub(super) fn record_demand(&self, vm: &Name, demand: Vec<(Name, f64)>, now: Instant) {
-        self.demand.lock().expect("no holder panics").insert(vm.clone(), (now, demand));
+        self.follower_demand
+            .lock()
+            .expect("lock is not poisoned")
+            .insert(vm.clone(), (now, demand));
     }
 
-    /// Notes what the entry of this VM counted.
-    pub(super) fn set_entry_status(&self, entry: EntryStatus) {
-        *self.entry.lock().expect("no holder panics") = Some(entry);
+    /// Sets the status that the entry of this VM reported.
+    pub(super) fn set_entry_status(&self, status: EntryStatus) {
+        *self.entry_status.lock().expect("lock is not poisoned") = Some(status);
     }
 
-    /// Returns what the entry of this VM counted, as last told.
+    /// Returns the last reported status of this VM's entry.
     pub(super) fn entry_status(&self) -> Option<EntryStatus> {
-        self.entry.lock().expect("no holder panics").clone()
+        self.entry_status.lock().expect("lock is not poisoned").clone()
     }
 
-    /// Returns the demand of all followers, by model.
+    /// Returns the demand of all followers in slots, by model.
     pub(super) fn total_demand(&self, now: Instant) -> Vec<(Name, f64)> {
-        let mut told = self.demand.lock().expect("no holder panics");
-        told.retain(|_, (at, _)| now.saturating_duration_since(*at) < DEMAND_LIFETIME);
+        let mut reports = self.follower_demand.lock().expect("lock is not poisoned");
+        reports
+            .retain(|_, (reported_at, _)| now.saturating_duration_since(*reported_at) < DEMAND_TTL);
         let mut total: BTreeMap<Name, f64> = BTreeMap::new();
-        for (model, rate) in told.values().flat_map(|(_, demand)| demand) {
-            *total.entry(model.clone()).or_default() += rate;
+        for (model, slots) in reports.values().flat_map(|(_, demand)| demand) {
+            *total.entry(model.clone()).or_default() += slots;
         }
         total.into_iter().collect()
     }
