--- a/savoryport/src/control/mod.rs
+++ b/savoryport/src/control/mod.rs
@@ -1,8 +1,8 @@
 //! The control process: holds leases on groups of servers, keeps the servers' memory ledgers, sends
 //! load and unload orders to engines, and replicates the table and the state of the servers.
 //!
-//! No request waits for the control process. While the key-value service is unavailable, the process
-//! serves the state that it has and starts no loads or unloads.
+//! No request waits for the control process. While the key-value service is unavailable, the
+//! process serves the state that it has and starts no loads or unloads.
 
 mod announce;
 mod kv_client;
--- a/savoryport/src/control/reconcile.rs
+++ b/savoryport/src/control/reconcile.rs
@@ -1,4 +1,5 @@
-//! One task for each server whose group this process holds, or has held.
+//! Brings the memory of engines in line with the plan, with one task for each server whose group's
+//! lease this process holds or has held_leases.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -21,88 +22,90 @@
 use crate::keys;
 use crate::metrics::CauseLabels;
 
-/// How often the set of servers is looked at.
-const PERIOD: Duration = Duration::from_millis(250);
+/// How often the set of servers is updated.
+const CHECK_PERIOD: Duration = Duration::from_millis(250);
 
-/// The pause between two looks at an order that is under way.
-const ORDER_PAUSE: Duration = Duration::from_millis(40);
+/// The delay before the reconciler is asked again after an engine responded to an order.
+const ORDER_DELAY: Duration = Duration::from_millis(40);
 
-/// The pause after a call that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// The delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How long an engine may be silent before its server counts as down.
+/// How long an engine may fail to respond before its server is marked as down.
 const DOWN_AFTER: Duration = Duration::from_secs(3);
 
-/// Starts a task for each server of the groups held, until it is cancelled.
-pub(super) async fn run(cx: Context, me: HolderId, held: HeldLeasesReceiver) {
+/// Starts a task for each server in the groups that this process holds, until it is cancelled.
+pub(super) async fn run(cx: Context, own_id: HolderId, held_leases: HeldLeasesReceiver) {
     let mut tasks = tokio::task::JoinSet::new();
-    let mut known: HashMap<Name, tokio::task::AbortHandle> = HashMap::new();
-    let mut slots: BTreeMap<Name, Arc<Semaphore>> = BTreeMap::new();
+    let mut abort_handles: HashMap<Name, tokio::task::AbortHandle> = HashMap::new();
+    let mut slots_by_group: BTreeMap<Name, Arc<Semaphore>> = BTreeMap::new();
     loop {
-        let groups = held.borrow().groups().clone();
+        let groups = held_leases.borrow().groups().clone();
         let replica = cx.state.replica();
         for vm in replica.vms.engines().filter(|vm| groups.contains(&vm.failure_domain)) {
             let group = vm.failure_domain.clone();
-            let slots =
-                slots.entry(group).or_insert_with_key(|group| load_slots(&cx, &replica, group));
-            known.entry(vm.name.clone()).or_insert_with(|| {
-                let task = ReconcileTask::new(&cx, &me, &held, vm, slots);
+            let slots = slots_by_group
+                .entry(group)
+                .or_insert_with_key(|group| group_load_slots(&cx, &replica, group));
+            abort_handles.entry(vm.name.clone()).or_insert_with(|| {
+                let task = ReconcileTask::new(&cx, &own_id, &held_leases, vm, slots);
                 tasks.spawn(task.run())
             });
         }
-        // A server that the platform no longer lists is gone, and its memory with it.
-        known.retain(|name, task| {
+        // A server that the platform no longer lists has been removed, together with its memory.
+        abort_handles.retain(|name, handle| {
             let is_listed = replica.vms.get(name).is_some();
             if !is_listed {
-                task.abort();
+                handle.abort();
             }
             is_listed
         });
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
     }
 }
 
-/// Returns this group's share of the weight store's limit.
-fn load_slots(cx: &Context, replica: &Replica, group: &Name) -> Arc<Semaphore> {
+/// Returns the group's share of the parallel loads that the weight store allows.
+fn group_load_slots(cx: &Context, replica: &Replica, group: &Name) -> Arc<Semaphore> {
     let mut groups: Vec<&Name> = replica.vms.engines().map(|vm| &vm.failure_domain).collect();
     groups.sort();
     groups.dedup();
     let index = groups.iter().position(|other| *other == group).unwrap_or(0);
     let share = load_slots::slots_for_group(cx.settings.weight_store_slots, groups.len(), index);
-    // A group without a slot could never load anything; better that loads take longer.
+    // Every group gets at least one slot, even if this exceeds the weight store's limit and slows
+    // loads down: a group without a slot could never load anything.
     Arc::new(Semaphore::new(share.max(1) as usize))
 }
 
 struct ReconcileTask {
     cx: Context,
-    held: HeldLeasesReceiver,
+    held_leases: HeldLeasesReceiver,
     vm: Vm,
     engine: EngineClient,
     reconciler: Reconciler,
-    slots: Arc<Semaphore>,
-    permit: Option<OwnedSemaphorePermit>,
-    silent_since: Option<Instant>,
+    load_slots: Arc<Semaphore>,
+    load_permit: Option<OwnedSemaphorePermit>,
+    unresponsive_since: Option<Instant>,
     is_marked_down: bool,
 }
 
 impl ReconcileTask {
     fn new(
         cx: &Context,
-        me: &HolderId,
-        held: &HeldLeasesReceiver,
+        own_id: &HolderId,
+        held_leases: &HeldLeasesReceiver,
         vm: &Vm,
-        slots: &Arc<Semaphore>,
+        load_slots: &Arc<Semaphore>,
     ) -> Self {
         let timeout = Duration::from_millis(cx.settings.order_timeout_ms);
         Self {
             engine: EngineClient::new(&vm.address, timeout),
-            reconciler: Reconciler::new(me.clone()),
+            reconciler: Reconciler::new(own_id.clone()),
             cx: cx.clone(),
-            held: held.clone(),
+            held_leases: held_leases.clone(),
             vm: vm.clone(),
-            slots: slots.clone(),
-            permit: None,
-            silent_since: None,
+            load_slots: load_slots.clone(),
+            load_permit: None,
+            unresponsive_since: None,
             is_marked_down: false,
         }
     }
@@ -110,12 +113,12 @@
     async fn run(mut self) {
         loop {
             let may_act = self.may_act();
-            match self.decide(may_act) {
-                Step::Read => self.read().await,
-                Step::Write { record, revision } => self.write(record, revision).await,
-                Step::Send(order) => self.send(order).await,
-                Step::Query => self.query().await,
-                Step::Idle => self.rest(may_act).await,
+            match self.next_step(may_act) {
+                Step::Read => self.read_record().await,
+                Step::Write { record, revision } => self.write_record(record, revision).await,
+                Step::Send(order) => self.send_order(order).await,
+                Step::Query => self.query_engine().await,
+                Step::Idle => self.wait_while_idle(may_act).await,
             }
         }
     }
@@ -123,12 +126,12 @@
     fn may_act(&self) -> bool {
         let has_plan = self.cx.state.replica().plan.version > 0;
         let now = self.cx.clock.now();
-        has_plan && self.held.borrow().may_act(&self.vm.failure_domain, now)
+        has_plan && self.held_leases.borrow().may_act(&self.vm.failure_domain, now)
     }
 
-    fn decide(&mut self, may_act: bool) -> Step {
-        if self.permit.is_none() && !self.reconciler.has_pending_order() {
-            self.permit = self.slots.clone().try_acquire_owned().ok();
+    fn next_step(&mut self, may_act: bool) -> Step {
+        if self.load_permit.is_none() && !self.reconciler.has_pending_order() {
+            self.load_permit = self.load_slots.clone().try_acquire_owned().ok();
         }
         let replica = self.cx.state.replica();
         let server = &self.vm.name;
@@ -141,22 +144,22 @@
             may_unload: &may_unload,
             is_gone: &is_gone,
             may_act,
-            may_load: self.permit.is_some(),
+            may_load: self.load_permit.is_some(),
         });
-        let is_load = |record: &ServerRecord| {
+        let has_pending_load = |record: &ServerRecord| {
             record.pending.as_ref().is_some_and(|order| order.kind == OrderKind::Load)
         };
-        let needs_slot = match &step {
-            Step::Write { record, .. } => is_load(record),
-            _ => self.reconciler.record().is_some_and(is_load),
+        let needs_permit = match &step {
+            Step::Write { record, .. } => has_pending_load(record),
+            _ => self.reconciler.record().is_some_and(has_pending_load),
         };
-        if !needs_slot {
-            self.permit = None;
+        if !needs_permit {
+            self.load_permit = None;
         }
         step
     }
 
-    async fn read(&mut self) {
+    async fn read_record(&mut self) {
         let key = keys::server(&self.vm.name);
         match self.cx.kv.get(&key).await {
             Ok(None) => {
@@ -166,18 +169,18 @@
             Ok(Some(entry)) => match serde_json::from_slice(&entry.value) {
                 Ok(record) => self.reconciler.on_read(record, entry.revision),
                 Err(err) => {
-                    log::error!(server = &*self.vm.name, err:%; "ledger not readable");
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    log::error!(server = &*self.vm.name, err:%; "cannot parse the ledger");
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             },
-            Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 
-    async fn write(&mut self, record: ServerRecord, revision: Revision) {
+    async fn write_record(&mut self, record: ServerRecord, revision: Revision) {
         let key = keys::server(&self.vm.name);
-        let value = serde_json::to_vec(&record).expect("plain values");
-        let answer = match self.cx.kv.put_if(&key, value, revision, None).await {
+        let value = serde_json::to_vec(&record).expect("a record can be serialized");
+        let result = match self.cx.kv.put_if(&key, value, revision, None).await {
             Ok(PutAnswer::Written(revision)) => {
                 self.cx
                     .state
@@ -189,83 +192,85 @@
                 WriteResult::Conflict
             }
             Err(_) => {
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 WriteResult::Unknown
             }
         };
-        self.reconciler.on_write(record, answer);
+        self.reconciler.on_write(record, result);
     }
 
-    async fn send(&mut self, order: Order) {
+    async fn send_order(&mut self, order: Order) {
         let cause = match order.kind {
             OrderKind::Load => "load",
             OrderKind::Unload => "unload",
         };
         self.cx.metrics.orders.get_or_create(&CauseLabels { cause }).inc();
         self.reconciler.on_order_sent(&order);
-        let (engine, sent) = (self.engine.clone(), order.clone());
-        match tokio::task::spawn_blocking(move || engine.order(&sent)).await {
-            Ok(Ok(answer)) => {
-                self.reconciler.on_order_response(&order, answer);
-                tokio::time::sleep(ORDER_PAUSE).await;
+        let (engine, sent_order) = (self.engine.clone(), order.clone());
+        match tokio::task::spawn_blocking(move || engine.order(&sent_order)).await {
+            Ok(Ok(response)) => {
+                self.reconciler.on_order_response(&order, response);
+                tokio::time::sleep(ORDER_DELAY).await;
             }
             _ => {
                 self.cx.metrics.unanswered_orders.inc();
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    async fn query(&mut self) {
+    async fn query_engine(&mut self) {
         let engine = self.engine.clone();
         match tokio::task::spawn_blocking(move || engine.state()).await {
             Ok(Ok(state)) => {
                 self.reconciler.on_engine_state(state);
-                self.note_answer().await;
+                self.on_engine_response().await;
             }
             _ => {
-                self.note_silence().await;
-                tokio::time::sleep(RETRY_PAUSE).await;
+                self.on_engine_failure().await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    async fn note_answer(&mut self) {
-        self.silent_since = None;
+    async fn on_engine_response(&mut self) {
+        self.unresponsive_since = None;
         if self.is_marked_down || self.cx.state.replica().mark(&self.down_mark()).is_some() {
-            log::info!(server = &*self.vm.name; "server answers again");
-            let cleared = self.cx.kv.set_mark(&self.cx.state, &self.down_mark(), "").await;
-            self.is_marked_down = cleared.is_err();
+            log::info!(server = &*self.vm.name; "server responds again");
+            let result = self.cx.kv.set_mark(&self.cx.state, &self.down_mark(), "").await;
+            self.is_marked_down = result.is_err();
         }
     }
 
-    async fn note_silence(&mut self) {
+    async fn on_engine_failure(&mut self) {
         let now = self.cx.clock.now();
-        let since = *self.silent_since.get_or_insert(now);
-        if now - since < DOWN_AFTER || self.is_marked_down {
+        let unresponsive_since = *self.unresponsive_since.get_or_insert(now);
+        if now - unresponsive_since < DOWN_AFTER || self.is_marked_down {
             return;
         }
-        log::warn!(server = &*self.vm.name; "server does not answer");
-        let (name, me) = (self.down_mark(), self.cx.settings.vm.clone());
-        self.is_marked_down = self.cx.kv.set_mark(&self.cx.state, &name, &me).await.is_ok();
+        log::warn!(server = &*self.vm.name; "server does not respond; marking it as down");
+        let (mark_name, own_vm) = (self.down_mark(), self.cx.settings.vm.clone());
+        self.is_marked_down =
+            self.cx.kv.set_mark(&self.cx.state, &mark_name, &own_vm).await.is_ok();
     }
 
     fn down_mark(&self) -> String {
         keys::down_mark(&self.vm.name)
     }
 
-    /// Waits for a change, or for the time to look at the engine again.
-    async fn rest(&mut self, may_act: bool) {
-        self.permit = None;
-        let mut changes = self.cx.state.subscribe();
+    /// Waits for a new plan, or until the engine is due to be queried again.
+    async fn wait_while_idle(&mut self, may_act: bool) {
+        self.load_permit = None;
+        let mut replica_rx = self.cx.state.subscribe();
         let plan_version = self.cx.state.replica().plan.version;
         let period = Duration::from_millis(self.cx.settings.steward_period_ms);
-        let changed = changes.wait_for(|replica| replica.plan.version != plan_version);
-        let _ = tokio::time::timeout(period, changed).await;
+        let new_plan = replica_rx.wait_for(|replica| replica.plan.version != plan_version);
+        let _ = tokio::time::timeout(period, new_plan).await;
         if may_act {
             self.reconciler.invalidate_engine_state();
         } else {
-            // Somebody else may hold the lease: what was left behind is found in the record.
+            // Another process may hold the lease and have written the record, which also shows the
+            // orders that this process left behind.
             self.reconciler.invalidate();
         }
     }
--- a/savoryport/src/control/replication.rs
+++ b/savoryport/src/control/replication.rs
@@ -1,8 +1,10 @@
-//! Keeps this process up to date, from another control process or from the platform itself.
+//! Keeps this process's replica up to date, from another control process or directly from the
+//! platform, which consists of the key-value service and the list of VMs.
 //!
-//! The first live VM of a failure domain reads the platform; the others follow it in a tree. So a change costs
-//! the key-value service one watch for each domain, not one for each node, and crosses the link
-//! between regions once for each domain beyond it.
+//! In each failure domain, the process on the first live VM reads the platform, and the others
+//! follow it in a tree. The key-value service therefore serves one watch for each domain instead of
+//! one for each node, and a change crosses the link between regions once for each domain on the
+//! other side.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -19,29 +21,30 @@
 use crate::keys;
 use crate::rpc::{ControlClient, PullRequest};
 
-/// The longest wait of one watch, and of one pull.
-const WAIT: Duration = Duration::from_secs(3);
+/// The maximum wait for changes in one watch or pull.
+const MAX_WAIT: Duration = Duration::from_secs(3);
 
-/// The time for an earlier VM of the domain to show that it is there.
-const ANSWER_LIMIT: Duration = Duration::from_millis(500);
+/// How long an earlier VM of the domain may take to respond to a status call.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The pause after a failure.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// The delay after a failure, and after an update that contained nothing new.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// How often the platform's list of VMs is read.
 const VM_LIST_PERIOD: Duration = Duration::from_millis(500);
 
-/// How often demand is told upstream, and the demand of the failure domain written.
-const DEMAND_PERIOD: Duration = Duration::from_secs(5);
+/// How often demand is reported upstream, and the demand of the failure domain is written to the
+/// key-value service.
+const DEMAND_REPORT_PERIOD: Duration = Duration::from_secs(5);
 
-/// How often a reader looks whether an earlier VM of its domain is back.
-const UPSTREAM_PERIOD: Duration = Duration::from_secs(5);
+/// How often a process that reads the platform checks whether an earlier VM of its domain is back.
+const UPSTREAM_CHECK_PERIOD: Duration = Duration::from_secs(5);
 
-/// Runs until it is cancelled.
+/// Keeps the replica up to date until it is cancelled.
 pub(super) async fn run(cx: Context) {
     loop {
         refresh_vms(&cx).await;
-        let upstream = first_answering(&upstreams(&cx)).await;
+        let upstream = first_responsive(&upstream_addresses(&cx)).await;
         match upstream {
             Some(client) => follow(&cx, &client).await,
             None => {
@@ -62,50 +65,52 @@
     }
 }
 
-/// Returns the control addresses of those that this process may follow, the best first.
-fn upstreams(cx: &Context) -> Vec<String> {
+/// Returns the control addresses of the processes that this one may follow, in order of preference.
+fn upstream_addresses(cx: &Context) -> Vec<String> {
     let replica = cx.state.replica();
     let settings = &cx.settings;
-    let is_near = |vm: &&Vm| vm.failure_domain == settings.failure_domain && !vm.leaving;
-    let mut domain: Vec<&Vm> = replica.vms.entries().filter(is_near).collect();
+    let is_candidate = |vm: &&Vm| vm.failure_domain == settings.failure_domain && !vm.leaving;
+    let mut domain: Vec<&Vm> = replica.vms.entries().filter(is_candidate).collect();
     domain.sort_by(|a, b| a.name.cmp(&b.name));
-    let place = domain.iter().take_while(|vm| vm.name < settings.vm).count();
-    let candidates = replication_tree::upstreams(place).into_iter().map(|place| domain[place]);
+    let position = domain.iter().take_while(|vm| vm.name < settings.vm).count();
+    let candidates = replication_tree::upstreams(position).into_iter().map(|at| domain[at]);
     candidates.filter_map(|vm| vm.control_address.as_ref()).map(ToString::to_string).collect()
 }
 
-/// Returns the first process that answers. A frozen one still takes connections, so each is asked.
-async fn first_answering(addresses: &[String]) -> Option<ControlClient> {
+/// Connects to the first process that responds to a status call. A frozen process still accepts
+/// connections, so connecting is not enough.
+async fn first_responsive(addresses: &[String]) -> Option<ControlClient> {
     for address in addresses {
         let Ok(client) = ControlClient::connect(address).await else { continue };
-        let asked = tokio::time::timeout(ANSWER_LIMIT, client.status()).await;
-        if matches!(asked, Ok(Ok(_))) {
+        let response = tokio::time::timeout(STATUS_TIMEOUT, client.status()).await;
+        if matches!(response, Ok(Ok(_))) {
             return Some(client);
         }
     }
     None
 }
 
-/// Follows another process until it no longer answers.
+/// Follows another process until it no longer responds.
 async fn follow(cx: &Context, client: &ControlClient) {
-    let mut tell_at = cx.clock.now();
+    let mut next_report_at = cx.clock.now();
     loop {
-        let demand = (cx.clock.now() >= tell_at).then(|| {
-            tell_at = cx.clock.now() + DEMAND_PERIOD;
+        let demand = (cx.clock.now() >= next_report_at).then(|| {
+            next_report_at = cx.clock.now() + DEMAND_REPORT_PERIOD;
             cx.state.total_demand(cx.clock.now())
         });
         match client.pull(PullRequest { demand, ..pull_request(cx) }).await {
             Ok(update) => {
-                let is_news = (*cx.state.replica()).clone().merge(update.clone());
-                let is_repeated = !is_news && !update.is_empty();
+                let has_changes = (*cx.state.replica()).clone().merge(update.clone());
+                let is_repeated = !has_changes && !update.is_empty();
                 cx.state.merge(update);
                 if is_repeated {
-                    // The other knows something beyond its own watermark; it will come level.
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    // The upstream has changes above its own watermark, and sends them again until
+                    // its watermark has reached them.
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
             Err(err) => {
-                log::info!(err:%; "upstream lost");
+                log::info!(err:%; "the upstream control process stopped responding");
                 return;
             }
         }
@@ -116,52 +121,52 @@
     PullRequest {
         vm: cx.settings.vm.clone(),
         have: cx.state.replica().versions(),
-        wait_ms: WAIT.as_millis() as u64,
+        wait_ms: MAX_WAIT.as_millis() as u64,
         demand: None,
         entry: None,
     }
 }
 
-/// Reads the platform until it fails, or an earlier VM of the domain is back.
+/// Reads the platform until a call fails or an earlier VM of the domain is back.
 async fn read_platform(cx: &Context) {
     let (entries, mut revision) = match cx.kv.list(keys::PREFIX).await {
         Ok(listed) => listed,
-        Err(_) => return ask_peers(cx).await,
+        Err(_) => return pull_from_peers(cx).await,
     };
-    let update = update_of(entries.into_iter().map(Event::Put));
+    let update = update_from_events(entries.into_iter().map(Event::Put));
     cx.state.merge(cx.state.replica().add_removed_marks(Update { seen: revision, ..update }));
-    log::info!(revision; "reading the platform");
-    let beside = tokio::spawn(read_beside(cx.clone()));
-    let mut look_at = cx.clock.now() + UPSTREAM_PERIOD;
+    log::info!(revision; "started reading the platform");
+    let background = tokio::spawn(refresh_in_background(cx.clone()));
+    let mut next_upstream_check_at = cx.clock.now() + UPSTREAM_CHECK_PERIOD;
     loop {
-        match cx.kv.watch(keys::PREFIX, revision, WAIT).await {
+        match cx.kv.watch(keys::PREFIX, revision, MAX_WAIT).await {
             Ok(events) => {
                 revision = events.iter().map(event_revision).fold(revision, Revision::max);
-                cx.state.merge(Update { seen: revision, ..update_of(events.into_iter()) });
+                cx.state.merge(Update { seen: revision, ..update_from_events(events.into_iter()) });
             }
             Err(err) => {
-                log::warn!(err:%; "platform lost; going on with what is known");
+                log::warn!(err:%; "key-value service unavailable; continuing with the known state");
                 break;
             }
         }
-        if cx.clock.now() >= look_at {
-            look_at = cx.clock.now() + UPSTREAM_PERIOD;
-            if first_answering(&upstreams(cx)).await.is_some() {
+        if cx.clock.now() >= next_upstream_check_at {
+            next_upstream_check_at = cx.clock.now() + UPSTREAM_CHECK_PERIOD;
+            if first_responsive(&upstream_addresses(cx)).await.is_some() {
                 break;
             }
         }
     }
-    beside.abort();
+    background.abort();
 }
 
-/// What a reader does beside its watch: the list of VMs, and the demand of the domain.
-async fn read_beside(cx: Context) {
-    let mut demand_at: Option<Instant> = None;
+/// Refreshes the list of VMs and writes the demand of the domain, in parallel with the watch.
+async fn refresh_in_background(cx: Context) {
+    let mut demand_written_at: Option<Instant> = None;
     loop {
         refresh_vms(&cx).await;
         let now = cx.clock.now();
-        if demand_at.is_none_or(|at| now - at > DEMAND_PERIOD) {
-            demand_at = Some(now);
+        if demand_written_at.is_none_or(|at| now - at > DEMAND_REPORT_PERIOD) {
+            demand_written_at = Some(now);
             let _ = write_demand(&cx).await;
         }
         tokio::time::sleep(VM_LIST_PERIOD).await;
@@ -171,25 +176,26 @@
 async fn write_demand(cx: &Context) -> Result<PutAnswer, KvError> {
     let key = format!("{}{}", keys::DEMAND, cx.settings.failure_domain);
     let demand = cx.state.total_demand(cx.clock.now());
-    let value = serde_json::to_vec(&demand).expect("plain values");
+    let value = serde_json::to_vec(&demand).expect("demand can be serialized");
     let revision = cx.kv.get(&key).await?.map_or(0, |entry| entry.revision);
     cx.kv.put_if(&key, value, revision, None).await
 }
 
-/// Asks other processes once for what they know, while the platform cannot be asked.
-async fn ask_peers(cx: &Context) {
+/// Pulls once from every other known process while the key-value service is unavailable.
+async fn pull_from_peers(cx: &Context) {
     let replica = cx.state.replica();
-    let listed = replica.vms.entries().filter_map(|vm| vm.control_address.as_ref());
-    let own = &cx.settings.control_listen;
-    let addresses = cx.settings.peers.iter().cloned().chain(listed.map(ToString::to_string));
-    for address in addresses.filter(|address| address != own) {
+    let listed_addresses = replica.vms.entries().filter_map(|vm| vm.control_address.as_ref());
+    let own_address = &cx.settings.control_listen;
+    let addresses =
+        cx.settings.peers.iter().cloned().chain(listed_addresses.map(ToString::to_string));
+    for address in addresses.filter(|address| address != own_address) {
         let Ok(client) = ControlClient::connect(&address).await else { continue };
         let req = PullRequest { wait_ms: 0, ..pull_request(cx) };
         if let Ok(update) = client.pull(req).await {
             cx.state.merge(update);
         }
     }
-    tokio::time::sleep(RETRY_PAUSE).await;
+    tokio::time::sleep(RETRY_DELAY).await;
 }
 
 fn event_revision(event: &Event) -> Revision {
@@ -199,9 +205,9 @@
     }
 }
 
-/// Translates changes of keys; what cannot be read is passed over, since a later version may write
-/// what this one does not know.
-fn update_of(events: impl Iterator<Item = Event>) -> Update {
+/// Converts changed keys into an update. Values that cannot be parsed are ignored, since a later
+/// version may write values that this one does not know.
+fn update_from_events(events: impl Iterator<Item = Event>) -> Update {
     let mut update = Update::default();
     for event in events {
         match event {
@@ -233,14 +239,14 @@
     }
 }
 
-/// Returns the demand written by all failure domains, added up by model.
+/// Returns the total demand that all failure domains have written, in slots by model.
 pub(super) async fn read_demand(cx: &Context) -> Result<BTreeMap<Name, f64>, KvError> {
     let (entries, _) = cx.kv.list(keys::DEMAND).await?;
     let mut total = BTreeMap::new();
     for entry in entries {
         let demand: Vec<(Name, f64)> = serde_json::from_slice(&entry.value).unwrap_or_default();
-        for (model, rate) in demand {
-            *total.entry(model).or_default() += rate;
+        for (model, slots) in demand {
+            *total.entry(model).or_default() += slots;
         }
     }
     Ok(total)
--- a/savoryport/src/control/shared_state.rs
+++ b/savoryport/src/control/shared_state.rs
@@ -37,7 +37,8 @@
         let mut replica = Replica::default();
         while let Some(update) = update_rx.recv().await {
             let mut changed = replica.merge(update);
-            // Publishing copies the whole replica, so all waiting updates are merged first.
+            // Every follower copies its whole replica for each published change, so all waiting
+            // updates are published together.
             while let Ok(update) = update_rx.try_recv() {
                 changed |= replica.merge(update);
             }
