--- a/savoryport/src/control/kv_client.rs
+++ b/savoryport/src/control/kv_client.rs
@@ -12,7 +12,7 @@
 use super::shared_state::SharedState;
 use crate::keys;
 
-/// Runs the calls of the blocking etcd client on the blocking thread pool.
+/// A client that runs the calls of the blocking etcd client on the blocking thread pool.
 #[derive(Clone)]
 pub(super) struct KvClient {
     client: Arc<EtcdClient>,
--- a/savoryport/src/control/reconcile.rs
+++ b/savoryport/src/control/reconcile.rs
@@ -1,5 +1,5 @@
 //! Brings the memory of engines in line with the plan, with one task for each server whose group's
-//! lease this process holds or has held_leases.
+//! lease this process holds or has held.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Control, table and membership under failure, with real processes.
+//! Tests of the control process, the table and the fleet's membership under failures, with real
+//! processes.
 
 mod site;
 
@@ -14,25 +15,26 @@
 
 use site::{Site, TABLE, kill, read_stream, signal, tokens_of, wait_for};
 
-/// The users' bound for a change of the table.
+/// The maximum time until a change of the table is in force everywhere, as required by the users.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(9);
 
-/// The users' bound for a server that leaves, "a few seconds".
+/// The maximum time until a leaving server gets no new work; the users require "a few seconds".
 const LEAVING_WITHIN: Duration = Duration::from_secs(3);
 
-/// How long a lease takes to move: its time to live, and the wait of another failure domain.
+/// The maximum time until another process holds a lease: its time to live plus the delay before a
+/// process of another failure domain acquires it.
 const TAKEN_OVER_WITHIN: Duration = Duration::from_secs(8);
 
-/// A table with one more model than the first.
+/// Returns the initial table with one more model.
 fn larger_table() -> String {
     format!("{TABLE}model,extra,,5000,1,normal,8,1800,70,1,yes\n")
 }
 
-fn answers(site: &Site, at: usize, model: &str) -> bool {
-    site.complete(at, model, "hello", 1).is_ok_and(|answer| answer.status == 200)
+fn is_served(site: &Site, node: usize, model: &str) -> bool {
+    site.complete(node, model, "hello", 1).is_ok_and(|response| response.status == 200)
 }
 
-fn started(site: &Site, engine: usize) -> u64 {
+fn started_requests(site: &Site, engine: usize) -> u64 {
     site.fleet.engines[engine].counts().started
 }
 
@@ -45,9 +47,9 @@
     site.fleet.kv.set_faults(|faults| faults.down = true);
     let streamed = read_stream(site.stream(0, "quick", "without control", 10));
     assert_eq!(streamed.tokens, tokens_of("without control", 10));
-    assert!(
-        (0..3).all(|at| ["quick", "draft", "review", "shop"].iter().all(|m| answers(&site, at, m)))
-    );
+    assert!((0..3).all(|node| {
+        ["quick", "draft", "review", "shop"].iter().all(|m| is_served(&site, node, m))
+    }));
 }
 
 #[test]
@@ -56,7 +58,7 @@
     for round in 0..2 {
         let frozen = site.nodes[round].control.as_ref().unwrap();
         signal(frozen, Signal::STOP);
-        // The change can only be carried out by a process that is awake.
+        // The frozen process cannot load the new model, so another one has to take over.
         let name = format!("extra-{round}");
         let rows = format!("{TABLE}model,{name},,9000,1,normal,8,1800,70,2,yes\n");
         site.apply(&rows, false).unwrap();
@@ -79,7 +81,7 @@
     site.apply(&larger_table(), false).unwrap();
     let is_loaded = || !site.engines_with("extra").is_empty();
     wait_for("the new model", TAKEN_OVER_WITHIN * 2, is_loaded);
-    wait_for("it to answer", Duration::from_secs(3), || answers(&site, 2, "extra"));
+    wait_for("the new model to be served", Duration::from_secs(3), || is_served(&site, 2, "extra"));
     site.assert_no_overcommitment();
 }
 
@@ -93,38 +95,43 @@
     site.apply(&larger_table(), false).unwrap();
     wait_for("the new model", TAKEN_OVER_WITHIN, || !site.engines_with("extra").is_empty());
     site.assert_no_overcommitment();
-    // The ledger holds whatever an engine has in memory.
+    // Every item in an engine's memory is eventually in its ledger.
     for (at, engine) in site.fleet.engines.iter().enumerate() {
         let key = format!("savoryport/server/engine-{}", at + 1);
-        let holds_all = || {
+        let ledger_has_all_items = || {
             let record = site.fleet.kv.value(&key).unwrap();
             let record: ServerRecord = serde_json::from_slice(&record).unwrap();
             engine.loaded().iter().all(|item| record.get(item).is_some())
         };
-        wait_for("the ledger", Duration::from_secs(3), holds_all);
+        wait_for(
+            "the ledger to contain every loaded item",
+            Duration::from_secs(3),
+            ledger_has_all_items,
+        );
     }
 }
 
 #[test]
 fn a_change_is_in_force_everywhere_in_time() {
     let site = Site::start();
-    let began = Instant::now();
+    let applied_at = Instant::now();
     site.apply(&larger_table(), false).unwrap();
-    let everywhere = || (0..3).all(|at| site.version_at(at) == 2);
-    wait_for("version 2 everywhere", IN_FORCE_WITHIN, everywhere);
-    println!("in force everywhere after {:?}", began.elapsed());
+    let in_force_everywhere = || (0..3).all(|at| site.version_at(at) == 2);
+    wait_for("version 2 everywhere", IN_FORCE_WITHIN, in_force_everywhere);
+    println!("in force everywhere after {:?}", applied_at.elapsed());
 }
 
 #[test]
 fn a_change_reaches_the_followers_of_a_frozen_reader_in_time() {
     let site = Site::start();
-    // The first VM of the domain reads for it; frozen, it still takes connections.
-    let follows = || site.reads_platform(0) && !site.reads_platform(1);
-    wait_for("the second VM to follow the first", Duration::from_secs(12), follows);
+    // The process on the first VM reads the platform for its domain. While frozen, it still accepts
+    // connections.
+    let second_follows_first = || site.reads_platform(0) && !site.reads_platform(1);
+    wait_for("the second VM to follow the first", Duration::from_secs(12), second_follows_first);
     signal(site.nodes[0].control.as_ref().unwrap(), Signal::STOP);
     site.apply(&larger_table(), false).unwrap();
     wait_for("version 2 at the follower", IN_FORCE_WITHIN, || site.version_at(1) == 2);
-    wait_for("version 2 beside the reader", IN_FORCE_WITHIN, || site.version_at(0) == 2);
+    wait_for("version 2 at the frozen reader's entry", IN_FORCE_WITHIN, || site.version_at(0) == 2);
     signal(site.nodes[0].control.as_ref().unwrap(), Signal::CONT);
 }
 
@@ -132,23 +139,25 @@
 fn a_change_after_an_outage_is_in_force_in_time_and_nothing_went_back() {
     let mut site = Site::start();
     site.fleet.kv.set_faults(|faults| faults.down = true);
-    // Every VM but one is replaced while the service is away.
+    // The processes on every VM but one restart while the key-value service is unavailable.
     for at in 0..2 {
         kill(&mut site.nodes[at].entry);
         kill(&mut site.nodes[at].control);
         site.start_control(at);
         site.start_entry(at);
-        wait_for("the table of a peer", Duration::from_secs(8), || site.version_at(at) == 1);
+        wait_for("the entry to get the table from a peer", Duration::from_secs(8), || {
+            site.version_at(at) == 1
+        });
         site.wait_until_ready(at);
     }
     site.fleet.kv.set_faults(|faults| faults.down = false);
     site.apply(&larger_table(), false).unwrap();
-    let everywhere = || {
+    let in_force_everywhere = || {
         let versions = [0, 1, 2].map(|at| site.version_at(at));
         assert!(versions.iter().all(|version| *version >= 1), "{versions:?}");
         versions == [2, 2, 2]
     };
-    wait_for("version 2 everywhere", IN_FORCE_WITHIN, everywhere);
+    wait_for("version 2 everywhere", IN_FORCE_WITHIN, in_force_everywhere);
 }
 
 #[test]
@@ -156,23 +165,23 @@
     let site = Site::start();
     site.kv[2].set_faults(|faults| faults.refuse = true);
     site.kv[2].cut();
-    assert!(answers(&site, 2, "quick"));
+    assert!(is_served(&site, 2, "quick"));
     site.apply(&larger_table(), false).unwrap();
-    // Peers bring the table to the other side of the cut.
-    wait_for("version 2 beyond the cut", IN_FORCE_WITHIN, || site.version_at(2) == 2);
+    // The node without access to the key-value service gets the table from its peers.
+    wait_for("version 2 at the disconnected node", IN_FORCE_WITHIN, || site.version_at(2) == 2);
     site.kv[2].set_faults(|faults| faults.refuse = false);
-    let third = format!("{}model,more,,5000,1,normal,8,1800,70,1,yes\n", larger_table());
-    site.apply(&third, false).unwrap();
-    wait_for("version 3 after the cut", IN_FORCE_WITHIN, || site.version_at(2) == 3);
+    let third_table = format!("{}model,more,,5000,1,normal,8,1800,70,1,yes\n", larger_table());
+    site.apply(&third_table, false).unwrap();
+    wait_for("version 3 at the reconnected node", IN_FORCE_WITHIN, || site.version_at(2) == 3);
 }
 
 #[test]
-fn a_service_whose_connections_fell_silent_is_asked_anew() {
+fn control_reconnects_when_key_value_connections_go_silent() {
     let site = Site::start();
     site.kv.iter().for_each(savoryport_standin::proxy::Proxy::silence_open);
     site.apply(&larger_table(), false).unwrap();
-    let everywhere = || (0..3).all(|at| site.version_at(at) == 2);
-    wait_for("version 2 everywhere", IN_FORCE_WITHIN, everywhere);
+    let in_force_everywhere = || (0..3).all(|at| site.version_at(at) == 2);
+    wait_for("version 2 everywhere", IN_FORCE_WITHIN, in_force_everywhere);
 }
 
 #[test]
@@ -188,8 +197,8 @@
     let (first, second) = (edit("first", "30000,3,urgent"), edit("second", "30000,4,urgent"));
     let options = site.options();
     let results = thread::scope(|scope| {
-        let calls = [&first, &second].map(|path| scope.spawn(|| table::apply(&options, path)));
-        calls.map(|call| call.join().unwrap())
+        let handles = [&first, &second].map(|path| scope.spawn(|| table::apply(&options, path)));
+        handles.map(|handle| handle.join().unwrap())
     });
     let accepted = results.iter().filter(|result| result.is_ok()).count();
     assert_eq!(accepted, 1, "{results:?}");
@@ -198,7 +207,7 @@
 }
 
 #[test]
-fn operators_who_change_other_rows_may_merge() {
+fn operators_who_change_different_rows_may_merge() {
     let site = Site::start();
     let path = site.folder().join("mine.csv");
     table::get(&site.options(), Some(&path)).unwrap();
@@ -221,7 +230,7 @@
 }
 
 #[test]
-fn a_table_that_the_fleet_cannot_hold_changes_nothing() {
+fn a_table_that_does_not_fit_the_fleet_is_refused_without_effect() {
     let site = Site::start();
     let huge = format!("{TABLE}model,huge,,70000,1,normal,8,1800,70,1,yes\n");
     let refused = site.apply(&huge, false).unwrap_err();
@@ -236,20 +245,23 @@
     let site = Site::start();
     let draining = site.engines_with("quick")[0];
     site.fleet.engines[draining].set_faults(|faults| faults.draining = true);
-    // One refusal tells each entry; the requests themselves go on elsewhere.
-    assert!((0..3).all(|at| answers(&site, at, "quick")));
-    let asked = || {
+    // Each entry learns of the drain from one refusal, and sends the refused request elsewhere.
+    assert!((0..3).all(|at| is_served(&site, at, "quick")));
+    let requests_sent = || {
         let counts = site.fleet.engines[draining].counts();
         counts.started + counts.refused
     };
-    let before = asked();
+    let before = requests_sent();
     for round in 0..10 {
-        // A prompt of its own each time: a known prefix would lead to the server that had it last.
+        // Each round uses a new prompt, since a known prefix is routed to the server that last had
+        // it.
         let prompt = format!("round {round}");
-        let answered = |at| site.complete(at, "quick", &prompt, 1).is_ok_and(|a| a.status == 200);
-        assert!((0..3).all(answered));
+        let succeeds = |node| {
+            site.complete(node, "quick", &prompt, 1).is_ok_and(|response| response.status == 200)
+        };
+        assert!((0..3).all(succeeds));
     }
-    assert_eq!(asked(), before, "the server was asked again after it had said so");
+    assert_eq!(requests_sent(), before, "the draining server got another request");
 }
 
 #[test]
@@ -268,13 +280,13 @@
             });
         }
         thread::sleep(LEAVING_WITHIN);
-        let before = started(&site, leaving);
+        let before = started_requests(&site, leaving);
         for _ in 0..10 {
             for model in ["quick", "draft", "review", "shop"] {
-                assert!((0..3).all(|at| answers(&site, at, model)), "{model}");
+                assert!((0..3).all(|at| is_served(&site, at, model)), "{model}");
             }
         }
-        assert_eq!(started(&site, leaving), before, "by operator: {by_operator}");
+        assert_eq!(started_requests(&site, leaving), before, "by operator: {by_operator}");
     }
 }
 
@@ -284,9 +296,10 @@
     let dead = site.engines_with("draft")[0];
     site.engines[dead].set_faults(|faults| faults.refuse = true);
     site.engines[dead].cut();
-    // Models with a second copy never stop.
-    assert!(answers(&site, 0, "quick"));
-    let all = || ["quick", "draft", "review", "shop"].iter().all(|model| answers(&site, 0, model));
+    // A model with a second copy is served without interruption.
+    assert!(is_served(&site, 0, "quick"));
+    let all =
+        || ["quick", "draft", "review", "shop"].iter().all(|model| is_served(&site, 0, model));
     wait_for("every model", Duration::from_secs(10), all);
     site.assert_no_overcommitment();
 }
@@ -296,7 +309,9 @@
     let site = Site::start();
     let restarted = site.engines_with("review")[0];
     site.fleet.engines[restarted].restart();
-    wait_for("the model to answer", Duration::from_secs(10), || answers(&site, 1, "review"));
+    wait_for("the model to be served again", Duration::from_secs(10), || {
+        is_served(&site, 1, "review")
+    });
     site.assert_no_overcommitment();
 }
 
@@ -309,7 +324,8 @@
     }
     kill(&mut site.nodes[2].entry);
     kill(&mut site.nodes[2].control);
-    let all = || ["quick", "draft", "review", "shop"].iter().all(|model| answers(&site, 0, model));
+    let all =
+        || ["quick", "draft", "review", "shop"].iter().all(|model| is_served(&site, 0, model));
     wait_for("every model", Duration::from_secs(20), all);
     site.assert_no_overcommitment();
 }
@@ -319,13 +335,13 @@
     let site = Site::start();
     let weights = ["1", "9", "1"];
     thread::scope(|scope| {
-        let watching = scope.spawn(|| {
-            let began = Instant::now();
+        let requester = scope.spawn(|| {
+            let started_at = Instant::now();
             let mut refused = Vec::new();
-            while began.elapsed() < Duration::from_secs(5) {
+            while started_at.elapsed() < Duration::from_secs(5) {
                 for model in ["quick", "draft", "review"] {
                     match site.complete(0, model, "moving", 1) {
-                        Ok(answer) if answer.status == 200 => {}
+                        Ok(response) if response.status == 200 => {}
                         other => refused.push(format!("{model}: {other:?}")),
                     }
                 }
@@ -333,20 +349,20 @@
             refused
         });
         for (round, weight) in weights.iter().enumerate() {
-            // A larger model displaces extra copies; fewer copies free memory again.
+            // A larger model displaces extra copies, and with fewer copies memory is free again.
             let grown = format!("model,draft,,{},{weight},normal", 30_000 + 5_000 * round);
             let table = TABLE.replace("model,draft,,30000,1,normal", &grown);
             site.apply(&table, false).unwrap();
             thread::sleep(Duration::from_millis(1_500));
         }
-        let refused = watching.join().unwrap();
+        let refused = requester.join().unwrap();
         assert!(refused.is_empty(), "{refused:?}");
     });
     site.assert_no_overcommitment();
 }
 
 #[test]
-fn a_follower_at_rest_asks_rarely() {
+fn an_idle_follower_pulls_rarely() {
     let site = Site::start();
     let address = site.nodes[0].settings["control_listen"].as_str().unwrap().to_owned();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -354,8 +370,8 @@
         let client = ControlClient::connect(&address).await.unwrap();
         let mut replica = Replica::default();
         let mut pulls = 0;
-        let began = Instant::now();
-        while began.elapsed() < Duration::from_secs(3) {
+        let started_at = Instant::now();
+        while started_at.elapsed() < Duration::from_secs(3) {
             let have = replica.versions();
             let (vm, demand, entry) = ("follower".into(), None, None);
             let req = PullRequest { vm, have, wait_ms: 1_000, demand, entry };
@@ -364,5 +380,5 @@
         }
         pulls
     });
-    assert!(pulls < 20, "{pulls} pulls in 3 s although nothing changes");
+    assert!(pulls < 20, "{pulls} pulls in 3 s without any change");
 }
