--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -73,9 +73,9 @@
 #[test]
 fn every_control_process_replaced_one_after_another_loses_nothing() {
     let mut site = Site::start();
-    for at in 0..3 {
-        kill(&mut site.nodes[at].control);
-        site.start_control(at);
+    for node in 0..3 {
+        kill(&mut site.nodes[node].control);
+        site.start_control(node);
         thread::sleep(Duration::from_millis(300));
     }
     site.apply(&larger_table(), false).unwrap();
@@ -96,8 +96,8 @@
     wait_for("the new model", TAKEN_OVER_WITHIN, || !site.engines_with("extra").is_empty());
     site.assert_no_overcommitment();
     // Every item in an engine's memory is eventually in its ledger.
-    for (at, engine) in site.fleet.engines.iter().enumerate() {
-        let key = format!("savoryport/server/engine-{}", at + 1);
+    for (index, engine) in site.fleet.engines.iter().enumerate() {
+        let key = format!("savoryport/server/engine-{}", index + 1);
         let ledger_has_all_items = || {
             let record = site.fleet.kv.value(&key).unwrap();
             let record: ServerRecord = serde_json::from_slice(&record).unwrap();
@@ -116,7 +116,7 @@
     let site = Site::start();
     let applied_at = Instant::now();
     site.apply(&larger_table(), false).unwrap();
-    let in_force_everywhere = || (0..3).all(|at| site.version_at(at) == 2);
+    let in_force_everywhere = || (0..3).all(|node| site.version_at(node) == 2);
     wait_for("version 2 everywhere", IN_FORCE_WITHIN, in_force_everywhere);
     println!("in force everywhere after {:?}", applied_at.elapsed());
 }
@@ -140,20 +140,20 @@
     let mut site = Site::start();
     site.fleet.kv.set_faults(|faults| faults.down = true);
     // The processes on every VM but one restart while the key-value service is unavailable.
-    for at in 0..2 {
-        kill(&mut site.nodes[at].entry);
-        kill(&mut site.nodes[at].control);
-        site.start_control(at);
-        site.start_entry(at);
+    for node in 0..2 {
+        kill(&mut site.nodes[node].entry);
+        kill(&mut site.nodes[node].control);
+        site.start_control(node);
+        site.start_entry(node);
         wait_for("the entry to get the table from a peer", Duration::from_secs(8), || {
-            site.version_at(at) == 1
+            site.version_at(node) == 1
         });
-        site.wait_until_ready(at);
+        site.wait_until_ready(node);
     }
     site.fleet.kv.set_faults(|faults| faults.down = false);
     site.apply(&larger_table(), false).unwrap();
     let in_force_everywhere = || {
-        let versions = [0, 1, 2].map(|at| site.version_at(at));
+        let versions = [0, 1, 2].map(|node| site.version_at(node));
         assert!(versions.iter().all(|version| *version >= 1), "{versions:?}");
         versions == [2, 2, 2]
     };
@@ -180,7 +180,7 @@
     let site = Site::start();
     site.kv.iter().for_each(savoryport_standin::proxy::Proxy::silence_open);
     site.apply(&larger_table(), false).unwrap();
-    let in_force_everywhere = || (0..3).all(|at| site.version_at(at) == 2);
+    let in_force_everywhere = || (0..3).all(|node| site.version_at(node) == 2);
     wait_for("version 2 everywhere", IN_FORCE_WITHIN, in_force_everywhere);
 }
 
@@ -246,7 +246,7 @@
     let draining = site.engines_with("quick")[0];
     site.fleet.engines[draining].set_faults(|faults| faults.draining = true);
     // Each entry learns of the drain from one refusal, and sends the refused request elsewhere.
-    assert!((0..3).all(|at| is_served(&site, at, "quick")));
+    assert!((0..3).all(|node| is_served(&site, node, "quick")));
     let requests_sent = || {
         let counts = site.fleet.engines[draining].counts();
         counts.started + counts.refused
@@ -283,7 +283,7 @@
         let before = started_requests(&site, leaving);
         for _ in 0..10 {
             for model in ["quick", "draft", "review", "shop"] {
-                assert!((0..3).all(|at| is_served(&site, at, model)), "{model}");
+                assert!((0..3).all(|node| is_served(&site, node, model)), "{model}");
             }
         }
         assert_eq!(started_requests(&site, leaving), before, "by operator: {by_operator}");
