--- a/savoryport/src/node/callers.rs
+++ b/savoryport/src/node/callers.rs
@@ -80,8 +80,8 @@
     }
     let limits = cx.fleet.view().deployment().map(|deployment| deployment.limits);
     let idle_timeout = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
-    let max_header_bytes =
-        limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes.max(MIN_BUFFER_BYTES));
+    let max_header_bytes = limits
+        .map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes.max(MIN_BUFFER_BYTES));
     let service = service_fn(|req| respond(cx.clone(), req));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/savoryport/src/node/server_selection.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -207,7 +207,10 @@
         let priority = match decide_admission(&prospect, self.cx.random_unit()) {
             AdmissionDecision::Admit { priority } => priority,
             AdmissionDecision::Refuse { retry_after } => {
-                return Selection::Overload { expected_latency: choice.expected_latency, retry_after };
+                return Selection::Overload {
+                    expected_latency: choice.expected_latency,
+                    retry_after,
+                };
             }
         };
         let server = candidates
@@ -245,8 +248,7 @@
         let routing = self.cx.routing.lock();
         let (own_loads, health) = (routing.loads.own(), &routing.health);
         let is_denied = |server: &BackendServer| {
-            copy_name
-                .as_ref().is_some_and(|copy| {
+            copy_name.as_ref().is_some_and(|copy| {
                 health.is_not_resident(&server.id, copy, server.incarnation, now)
             })
         };
@@ -307,7 +309,8 @@
         let Some(expected_load) = self.request_model_load(&generation.model).await else {
             return Err(self.retry_later(RefusalCause::NoModel));
         };
-        let is_on_time = self.cx.now() - self.arrived_at + expected_load < self.route.target_latency;
+        let is_on_time =
+            self.cx.now() - self.arrived_at + expected_load < self.route.target_latency;
         if !is_on_time && expected_load > self.remaining_time().mul_f64(LOAD_SHARE) {
             return Err(Refusal::with_retry_after(
                 RefusalCause::NoModel,
--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -131,7 +131,9 @@
     signal(site.nodes[0].control.as_ref().unwrap(), Signal::STOP);
     site.apply(&larger_table(), false).unwrap();
     wait_for("version 2 at the follower", IN_FORCE_WITHIN, || site.entry_table_version(1) == 2);
-    wait_for("version 2 at the frozen reader's entry", IN_FORCE_WITHIN, || site.entry_table_version(0) == 2);
+    wait_for("version 2 at the frozen reader's entry", IN_FORCE_WITHIN, || {
+        site.entry_table_version(0) == 2
+    });
     signal(site.nodes[0].control.as_ref().unwrap(), Signal::CONT);
 }
 
@@ -168,11 +170,15 @@
     assert!(is_served(&site, 2, "quick"));
     site.apply(&larger_table(), false).unwrap();
     // The node without access to the key-value service gets the table from its peers.
-    wait_for("version 2 at the disconnected node", IN_FORCE_WITHIN, || site.entry_table_version(2) == 2);
+    wait_for("version 2 at the disconnected node", IN_FORCE_WITHIN, || {
+        site.entry_table_version(2) == 2
+    });
     site.kv_proxies[2].set_faults(|faults| faults.refuse = false);
     let third_table = format!("{}model,more,,5000,1,normal,8,1800,70,1,yes\n", larger_table());
     site.apply(&third_table, false).unwrap();
-    wait_for("version 3 at the reconnected node", IN_FORCE_WITHIN, || site.entry_table_version(2) == 3);
+    wait_for("version 3 at the reconnected node", IN_FORCE_WITHIN, || {
+        site.entry_table_version(2) == 3
+    });
 }
 
 #[test]
