--- a/savoryport/src/settings.rs
+++ b/savoryport/src/settings.rs
@@ -177,7 +177,7 @@
 
 /// Settings that were read, and the keys in the file that mean nothing.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Checked {
+pub struct CheckedSettings {
     /// The settings.
     pub settings: Settings,
     /// Keys that were ignored.
@@ -190,7 +190,7 @@
     /// # Errors
     ///
     /// Returns every wrong field at once.
-    pub fn read(path: &Path) -> Result<Checked, SettingsError> {
+    pub fn read(path: &Path) -> Result<CheckedSettings, SettingsError> {
         let text = fs::read_to_string(path)
             .map_err(|err| SettingsError::NotReadable { path: path.to_owned(), err })?;
         Self::parse(&text)
@@ -201,7 +201,7 @@
     /// # Errors
     ///
     /// Returns every wrong field at once.
-    pub fn parse(text: &str) -> Result<Checked, SettingsError> {
+    pub fn parse(text: &str) -> Result<CheckedSettings, SettingsError> {
         let fields: Map<String, Value> =
             serde_json::from_str(text).map_err(|err| SettingsError::NotJson(err.to_string()))?;
         let Value::Object(mut known) = to_value(&Self::default()) else {
@@ -222,7 +222,7 @@
             .map_err(|err| SettingsError::NotJson(err.to_string()))?;
         settings.check(&mut errors);
         if errors.is_empty() {
-            Ok(Checked { settings, unknown })
+            Ok(CheckedSettings { settings, unknown })
         } else {
             Err(SettingsError::Fields(errors))
         }
