--- a/savoryport/src/cli/mod.rs
+++ b/savoryport/src/cli/mod.rs
@@ -87,7 +87,7 @@
         Command::SettingsCheck(path) => {
             let checked = Settings::read(&path)?;
             let ignored =
-                checked.unknown.iter().map(|key| format!("unknown key {key:?} ignored\n"));
+                checked.unknown_keys.iter().map(|key| format!("unknown key {key:?} ignored\n"));
             Ok(format!("{}{}: settings are good", ignored.collect::<String>(), path.display()))
         }
         Command::Drain(vm) => drain::drain(options, &vm),
--- a/savoryport/src/daemon.rs
+++ b/savoryport/src/daemon.rs
@@ -26,7 +26,7 @@
         Ok(Some(path)) => match Settings::read(&path) {
             Ok(checked) => {
                 logging::start(program, &checked.settings.log_level);
-                for key in checked.unknown {
+                for key in checked.unknown_keys {
                     log::warn!(key = key.as_str(); "unknown key in the settings");
                 }
                 checked.settings
--- a/savoryport/src/settings.rs
+++ b/savoryport/src/settings.rs
@@ -181,7 +181,7 @@
     /// The settings.
     pub settings: Settings,
     /// Keys that were ignored.
-    pub unknown: Vec<String>,
+    pub unknown_keys: Vec<String>,
 }
 
 impl Settings {
@@ -207,11 +207,11 @@
         let Value::Object(mut known) = to_value(&Self::default()) else {
             unreachable!("settings are an object")
         };
-        let mut unknown = Vec::new();
+        let mut unknown_keys = Vec::new();
         let mut errors = Vec::new();
         for (field, value) in fields {
             if !known.contains_key(&field) {
-                unknown.push(field);
+                unknown_keys.push(field);
             } else if let Some(problem) = type_error(&field, &value) {
                 errors.push(FieldError { field, value: value.to_string(), problem });
             } else {
@@ -222,7 +222,7 @@
             .map_err(|err| SettingsError::NotJson(err.to_string()))?;
         settings.check(&mut errors);
         if errors.is_empty() {
-            Ok(CheckedSettings { settings, unknown })
+            Ok(CheckedSettings { settings, unknown_keys })
         } else {
             Err(SettingsError::Fields(errors))
         }
--- a/savoryport/tests/settings.rs
+++ b/savoryport/tests/settings.rs
@@ -7,7 +7,7 @@
 fn an_empty_object_gives_the_defaults() {
     let checked = Settings::parse("{}").unwrap();
     assert_eq!(checked.settings, Settings::default());
-    assert!(checked.unknown.is_empty());
+    assert!(checked.unknown_keys.is_empty());
 }
 
 #[test]
@@ -37,7 +37,7 @@
 #[test]
 fn unknown_keys_are_named_and_do_no_harm() {
     let checked = Settings::parse(r#"{"vm": "vm-9", "colour": "green"}"#).unwrap();
-    assert_eq!((&*checked.settings.vm, checked.unknown), ("vm-9", vec!["colour".to_owned()]));
+    assert_eq!((&*checked.settings.vm, checked.unknown_keys), ("vm-9", vec!["colour".to_owned()]));
 }
 
 #[test]
@@ -53,7 +53,7 @@
         let folder =
             std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples").join(folder);
         let checked = Settings::read(&folder.join("settings.json")).unwrap();
-        assert!(checked.unknown.is_empty());
+        assert!(checked.unknown_keys.is_empty());
         let table = std::fs::read(folder.join("table.csv")).unwrap();
         let rows = savoryport_core::table::parse_csv(&table).unwrap();
         let vms = std::fs::read_to_string(folder.join("vms.json")).unwrap();
