--- a/savoryport/src/settings.rs
+++ b/savoryport/src/settings.rs
@@ -172,7 +172,7 @@
     NotJson(String),
     /// Some fields are wrong.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
-    Fields(Vec<FieldError>),
+    InvalidFields(Vec<FieldError>),
 }
 
 /// Settings that were read, and the keys in the file that mean nothing.
@@ -224,7 +224,7 @@
         if errors.is_empty() {
             Ok(CheckedSettings { settings, unknown_keys })
         } else {
-            Err(SettingsError::Fields(errors))
+            Err(SettingsError::InvalidFields(errors))
         }
     }
 
--- a/savoryport/tests/settings.rs
+++ b/savoryport/tests/settings.rs
@@ -16,7 +16,9 @@
         "vm": "", "entry_listen": "somewhere", "max_body_bytes": -1, "read_timeout_ms": 0,
         "shares_percent": [60, 30, 20], "lease_ttl_ms": 1500, "log_level": "loud", "peers": ["x"]
     }"#;
-    let Err(SettingsError::Fields(errors)) = Settings::parse(text) else { panic!("refused") };
+    let Err(SettingsError::InvalidFields(errors)) = Settings::parse(text) else {
+        panic!("refused")
+    };
     let mut fields: Vec<&str> = errors.iter().map(|err| err.field.as_str()).collect();
     fields.sort_unstable();
     let expected = [
