--- a/savoryport/src/bin/node.rs
+++ b/savoryport/src/bin/node.rs
@@ -42,7 +42,7 @@
     let result = runtime.block_on(async {
         let stopping = CancellationToken::new();
         tokio::spawn(savoryport::daemon::cancel_on_signal(stopping.clone()));
-        tokio::spawn(savoryport::daemon::note_reloads());
+        tokio::spawn(savoryport::daemon::log_reload_requests());
         node::run(checked.settings, stopping).await
     });
     savoryport::logging::flush();
--- a/savoryport/src/daemon.rs
+++ b/savoryport/src/daemon.rs
@@ -84,7 +84,7 @@
 
 /// Logs each request to reload. A platform may send one for any change of the settings file; what
 /// it holds is fixed for the life of a process.
-pub async fn note_reloads() {
+pub async fn log_reload_requests() {
     let Ok(mut hangups) = signal(SignalKind::hangup()) else { return };
     while hangups.recv().await.is_some() {
         log::info!("asked to reload; settings are read at the next start");
