--- a/savoryport/src/control/mod.rs
+++ b/savoryport/src/control/mod.rs
@@ -26,7 +26,7 @@
 
 use self::hub::Hub;
 use self::platform::Platform;
-use crate::metrics::{ControlMetrics, PageError, serve_page};
+use crate::metrics::{ControlMetrics, PageError, serve_metrics};
 use crate::settings::Settings;
 
 /// How often the gauges are brought up to date.
@@ -78,7 +78,7 @@
     relay::start(&cx, cancel.clone()).await?;
     let page_cx = cx.clone();
     let address = &cx.settings.control_metrics_listen;
-    serve_page(address, cx.metrics.registry(), move || status(&page_cx), cancel.clone())?;
+    serve_metrics(address, cx.metrics.registry(), move || status(&page_cx), cancel.clone())?;
     let reading = cancel.clone().run_until_cancelled_owned(reader::run(cx.clone())).map(drop);
     let showing = cancel.clone().run_until_cancelled_owned(show_gauges(cx.clone())).map(drop);
     let mut tasks = vec![tokio::spawn(reading), tokio::spawn(showing)];
--- a/savoryport/src/entry/mod.rs
+++ b/savoryport/src/entry/mod.rs
@@ -30,7 +30,7 @@
 use tokio_util::task::TaskTracker;
 
 use self::dispatcher::DispatcherHandle;
-use crate::metrics::{EntryMetrics, PageError, serve_page};
+use crate::metrics::{EntryMetrics, PageError, serve_metrics};
 use crate::settings::Settings;
 
 /// Why the entry stops before it is asked to.
@@ -158,5 +158,5 @@
             "draining": cx.is_draining(),
         })
     };
-    serve_page(&cx.settings.entry_metrics_listen, registry, status, cancel)
+    serve_metrics(&cx.settings.entry_metrics_listen, registry, status, cancel)
 }
--- a/savoryport/src/metrics.rs
+++ b/savoryport/src/metrics.rs
@@ -229,7 +229,7 @@
 /// # Errors
 ///
 /// Returns an error where the address cannot be listened on.
-pub fn serve_page(
+pub fn serve_metrics(
     address: &str,
     registry: Registry,
     status: impl Fn() -> serde_json::Value + Send + 'static,
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -104,7 +104,7 @@
     let metrics_listen = SocketAddr::new(cx.settings.ip_address, cx.settings.metrics_port);
     let status_cx = cx.clone();
     let status = move || status::status(&status_cx);
-    let served = crate::metrics::serve_page(
+    let served = crate::metrics::serve_metrics(
         &metrics_listen.to_string(),
         cx.metrics.registry(),
         status,
