--- a/savoryport/src/control/mod.rs
+++ b/savoryport/src/control/mod.rs
@@ -26,7 +26,7 @@
 
 use self::hub::Hub;
 use self::platform::Platform;
-use crate::metrics::{ControlMetrics, PageError, serve_metrics};
+use crate::metrics::{ControlMetrics, MetricsServerError, serve_metrics};
 use crate::settings::Settings;
 
 /// How often the gauges are brought up to date.
@@ -45,7 +45,7 @@
     },
     /// The metrics page cannot be served.
     #[error(transparent)]
-    Page(#[from] PageError),
+    Page(#[from] MetricsServerError),
 }
 
 /// What every task needs.
--- a/savoryport/src/entry/mod.rs
+++ b/savoryport/src/entry/mod.rs
@@ -30,7 +30,7 @@
 use tokio_util::task::TaskTracker;
 
 use self::dispatcher::DispatcherHandle;
-use crate::metrics::{EntryMetrics, PageError, serve_metrics};
+use crate::metrics::{EntryMetrics, MetricsServerError, serve_metrics};
 use crate::settings::Settings;
 
 /// Why the entry stops before it is asked to.
@@ -46,7 +46,7 @@
     },
     /// The metrics page cannot be served.
     #[error(transparent)]
-    Page(#[from] PageError),
+    Page(#[from] MetricsServerError),
 }
 
 /// What every request needs.
@@ -144,7 +144,7 @@
     }
 }
 
-fn serve_status(cx: &Arc<Context>, cancel: CancellationToken) -> Result<(), PageError> {
+fn serve_status(cx: &Arc<Context>, cancel: CancellationToken) -> Result<(), MetricsServerError> {
     let registry = cx.metrics.registry();
     let page_cx = cx.clone();
     let status = move || {
--- a/savoryport/src/metrics.rs
+++ b/savoryport/src/metrics.rs
@@ -214,7 +214,7 @@
 /// The metrics page cannot be served.
 #[derive(Debug, Error)]
 #[error("cannot listen on {address} for metrics: {problem}")]
-pub struct PageError {
+pub struct MetricsServerError {
     /// The address.
     pub address: String,
     /// The library's words.
@@ -234,9 +234,11 @@
     registry: Registry,
     status: impl Fn() -> serde_json::Value + Send + 'static,
     cancel: CancellationToken,
-) -> Result<(), PageError> {
-    let server = Server::http(address)
-        .map_err(|err| PageError { address: address.to_owned(), problem: err.to_string() })?;
+) -> Result<(), MetricsServerError> {
+    let server = Server::http(address).map_err(|err| MetricsServerError {
+        address: address.to_owned(),
+        problem: err.to_string(),
+    })?;
     let registry = Arc::new(registry);
     std::thread::spawn(move || {
         while !cancel.is_cancelled() {
