--- a/savoryport/src/cli/status.rs
+++ b/savoryport/src/cli/status.rs
@@ -15,7 +15,7 @@
 use super::CliError;
 use super::arguments::Options;
 use crate::keys;
-use crate::rpc::{ControlClient, NodeStatus, RankCounts};
+use crate::rpc::{ControlClient, RankCounts, VmStatus};
 
 /// Shows the fleet: what the key-value service holds, and what each control process says.
 pub(super) fn status(options: &Options) -> Result<String, CliError> {
@@ -81,7 +81,7 @@
     );
 }
 
-fn ask_nodes(list: &VmList) -> Result<BTreeMap<Name, Option<NodeStatus>>, CliError> {
+fn ask_nodes(list: &VmList) -> Result<BTreeMap<Name, Option<VmStatus>>, CliError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -92,12 +92,12 @@
     })
 }
 
-async fn ask(vm: &Vm) -> Option<NodeStatus> {
+async fn ask(vm: &Vm) -> Option<VmStatus> {
     let client = ControlClient::connect(vm.control_address.as_ref()?).await.ok()?;
     client.status().await.ok()
 }
 
-fn describe_nodes(text: &mut String, list: &VmList, nodes: &BTreeMap<Name, Option<NodeStatus>>) {
+fn describe_nodes(text: &mut String, list: &VmList, nodes: &BTreeMap<Name, Option<VmStatus>>) {
     let mut versions: BTreeMap<&Name, BTreeSet<u64>> = BTreeMap::new();
     let mut ranks = [RankCounts::default(); 3];
     let mut refusals: BTreeMap<&str, u64> = BTreeMap::new();
--- a/savoryport/src/control/relay.rs
+++ b/savoryport/src/control/relay.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{Context, ControlError};
-use crate::rpc::{NodeStatus, PullRequest, Relay};
+use crate::rpc::{PullRequest, Relay, VmStatus};
 
 /// The longest that one call is kept waiting.
 const MAX_WAIT: Duration = Duration::from_secs(10);
@@ -41,8 +41,8 @@
         tokio::time::timeout(wait, news).await.unwrap_or_default()
     }
 
-    async fn status(self, _: context::Context) -> NodeStatus {
-        NodeStatus {
+    async fn status(self, _: context::Context) -> VmStatus {
+        VmStatus {
             vm: self.cx.settings.vm.clone(),
             failure_domain: self.cx.settings.failure_domain.clone(),
             versions: self.cx.hub.replica().versions(),
--- a/savoryport/src/rpc.rs
+++ b/savoryport/src/rpc.rs
@@ -58,7 +58,7 @@
 
 /// One VM as its control process knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeStatus {
+pub struct VmStatus {
     /// The VM.
     pub vm: Name,
     /// Its failure domain.
@@ -75,7 +75,7 @@
     /// Waits for news and returns what the caller lacks, or nothing after the wait.
     async fn pull(req: PullRequest) -> Update;
     /// Returns what the VM knows of itself.
-    async fn status() -> NodeStatus;
+    async fn status() -> VmStatus;
 }
 
 /// Why another process gave no news.
@@ -140,7 +140,7 @@
     /// # Errors
     ///
     /// Returns an error where no answer came.
-    pub async fn status(&self) -> Result<NodeStatus, RpcError> {
+    pub async fn status(&self) -> Result<VmStatus, RpcError> {
         let mut cx = context::current();
         cx.deadline = std::time::Instant::now() + ANSWER_GRACE;
         self.client.status(cx).await.map_err(|err| self.unanswered(&err))
