--- a/savoryport/src/control/relay.rs
+++ b/savoryport/src/control/relay.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{Context, ControlError};
-use crate::rpc::{PullRequest, Relay, VmStatus};
+use crate::rpc::{ControlService, PullRequest, VmStatus};
 
 /// The longest that one call is kept waiting.
 const MAX_WAIT: Duration = Duration::from_secs(10);
@@ -20,7 +20,7 @@
     cx: Context,
 }
 
-impl Relay for RelayServer {
+impl ControlService for RelayServer {
     async fn pull(self, _: context::Context, req: PullRequest) -> Update {
         if let Some(demand) = req.demand {
             self.cx.hub.note_demand(&req.vm, demand, self.cx.clock.now());
--- a/savoryport/src/rpc.rs
+++ b/savoryport/src/rpc.rs
@@ -71,7 +71,7 @@
 
 /// The service of a control process.
 #[tarpc::service]
-pub trait Relay {
+pub trait ControlService {
     /// Waits for news and returns what the caller lacks, or nothing after the wait.
     async fn pull(req: PullRequest) -> Update;
     /// Returns what the VM knows of itself.
@@ -103,7 +103,7 @@
 #[derive(Debug, Clone)]
 pub struct ControlClient {
     address: String,
-    client: RelayClient,
+    client: ControlServiceClient,
 }
 
 impl ControlClient {
@@ -119,7 +119,7 @@
             .await
             .map_err(|_| failed(format!("no connection within {CONNECT_TIMEOUT:?}")))?
             .map_err(|err| failed(err.to_string()))?;
-        let client = RelayClient::new(client::Config::default(), transport).spawn();
+        let client = ControlServiceClient::new(client::Config::default(), transport).spawn();
         Ok(Self { address: address.to_owned(), client })
     }
 
