--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -380,7 +380,7 @@
         metrics.first_token.get_or_create(&labels).observe(time.as_secs_f64());
         let outcome = if now <= self.deadline { ON_TIME } else { LATE };
         let labels = OutcomeLabels { rank: self.rank.name(), outcome };
-        metrics.on_time.get_or_create(&labels).inc();
+        metrics.first_tokens.get_or_create(&labels).inc();
     }
 
     fn finish(&mut self, mut in_flight: InFlight, handed_at: Instant) {
--- a/savoryport/src/metrics.rs
+++ b/savoryport/src/metrics.rs
@@ -72,7 +72,7 @@
     /// The version of the table in force.
     pub table_version: Gauge,
     /// First tokens by rank, on time or late.
-    pub on_time: Family<OutcomeLabels, Counter>,
+    pub first_tokens: Family<OutcomeLabels, Counter>,
     refusal_causes: Arc<Mutex<BTreeSet<&'static str>>>,
 }
 
@@ -115,7 +115,7 @@
             retries: Family::default(),
             in_flight: Gauge::default(),
             table_version: Gauge::default(),
-            on_time: Family::default(),
+            first_tokens: Family::default(),
             refusal_causes: Arc::default(),
         }
     }
@@ -132,7 +132,11 @@
         registry.register("retries", "Requests that were sent again", self.retries.clone());
         registry.register("in_flight", "Requests under way", self.in_flight.clone());
         registry.register("table_version", "Table in force", self.table_version.clone());
-        registry.register("first_tokens", "First tokens, on time or late", self.on_time.clone());
+        registry.register(
+            "first_tokens",
+            "First tokens, on time or late",
+            self.first_tokens.clone(),
+        );
         registry
     }
 
@@ -143,8 +147,8 @@
                 family.get_or_create(&OutcomeLabels { rank: rank.name(), outcome }).get()
             };
             RankCounts {
-                on_time: count(&self.on_time, ON_TIME),
-                late: count(&self.on_time, LATE),
+                on_time: count(&self.first_tokens, ON_TIME),
+                late: count(&self.first_tokens, LATE),
                 done: count(&self.requests, Outcome::Done.name()),
                 not_run: count(&self.requests, Outcome::NotRun.name()),
                 unknown: count(&self.requests, Outcome::Unknown.name()),
