--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -377,7 +377,7 @@
         let metrics = &self.cx.metrics;
         let labels = EntryMetrics::labels(&self.caller, self.rank);
         let time = now.saturating_duration_since(self.arrived);
-        metrics.first_token.get_or_create(&labels).observe(time.as_secs_f64());
+        metrics.time_to_first_token.get_or_create(&labels).observe(time.as_secs_f64());
         let outcome = if now <= self.deadline { ON_TIME } else { LATE };
         let labels = OutcomeLabels { rank: self.rank.name(), outcome };
         metrics.first_tokens.get_or_create(&labels).inc();
--- a/savoryport/src/metrics.rs
+++ b/savoryport/src/metrics.rs
@@ -62,7 +62,7 @@
     /// Refusals.
     pub refusals: Family<CauseLabels, Counter>,
     /// Seconds from the arrival to the first token.
-    pub first_token: Histograms,
+    pub time_to_first_token: Histograms,
     /// Seconds from the arrival to the end.
     pub duration: Histograms,
     /// Retries.
@@ -110,7 +110,7 @@
         Self {
             requests: Family::default(),
             refusals: Family::default(),
-            first_token: Family::new_with_constructor(seconds as fn() -> Histogram),
+            time_to_first_token: Family::new_with_constructor(seconds as fn() -> Histogram),
             duration: Family::new_with_constructor(seconds as fn() -> Histogram),
             retries: Family::default(),
             in_flight: Gauge::default(),
@@ -127,7 +127,11 @@
         let mut registry = Registry::with_prefix("savoryport_entry");
         registry.register("requests", "Ended requests", self.requests.clone());
         registry.register("refusals", "Requests that were refused", self.refusals.clone());
-        registry.register("first_token_seconds", "Time to first token", self.first_token.clone());
+        registry.register(
+            "first_token_seconds",
+            "Time to first token",
+            self.time_to_first_token.clone(),
+        );
         registry.register("duration_seconds", "Time to the end", self.duration.clone());
         registry.register("retries", "Requests that were sent again", self.retries.clone());
         registry.register("in_flight", "Requests under way", self.in_flight.clone());
