--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -375,7 +375,7 @@
 
     fn note_first_token(&self, now: Instant) {
         let metrics = &self.cx.metrics;
-        let labels = EntryMetrics::labels(&self.caller, self.rank);
+        let labels = EntryMetrics::request_labels(&self.caller, self.rank);
         let time = now.saturating_duration_since(self.arrived);
         metrics.time_to_first_token.get_or_create(&labels).observe(time.as_secs_f64());
         let outcome = if now <= self.deadline { ON_TIME } else { LATE };
@@ -401,7 +401,7 @@
         let metrics = &self.cx.metrics;
         let labels = OutcomeLabels { rank: self.rank.name(), outcome: outcome.name() };
         metrics.requests.get_or_create(&labels).inc();
-        let labels = EntryMetrics::labels(&self.caller, self.rank);
+        let labels = EntryMetrics::request_labels(&self.caller, self.rank);
         let time = self.cx.clock.now().saturating_duration_since(self.arrived);
         metrics.duration.get_or_create(&labels).observe(time.as_secs_f64());
     }
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -326,7 +326,7 @@
         let rank = self.row.rank;
         let labels = OutcomeLabels { rank: rank.name(), outcome: outcome.name() };
         metrics.requests.get_or_create(&labels).inc();
-        let labels = EntryMetrics::labels(&self.req.caller, rank);
+        let labels = EntryMetrics::request_labels(&self.req.caller, rank);
         let time = self.cx.clock.now().saturating_duration_since(self.arrived);
         metrics.duration.get_or_create(&labels).observe(time.as_secs_f64());
     }
--- a/savoryport/src/metrics.rs
+++ b/savoryport/src/metrics.rs
@@ -172,7 +172,7 @@
     }
 
     /// Returns the labels of a request.
-    pub fn labels(caller: &str, rank: Rank) -> RequestLabels {
+    pub fn request_labels(caller: &str, rank: Rank) -> RequestLabels {
         RequestLabels { caller: caller.to_owned(), rank: rank.name() }
     }
 }
