--- a/savoryport/src/entry/dispatcher.rs
+++ b/savoryport/src/entry/dispatcher.rs
@@ -192,7 +192,7 @@
     let (tx, rx) = mpsc::unbounded_channel();
     let epoch_length = Duration::from_millis(settings.ticket_epoch_ms);
     let dispatcher = Dispatcher {
-        dispatch: Dispatch::new(settings.dispatch()),
+        dispatch: Dispatch::new(settings.dispatch_config()),
         book: TicketIssuer::new(settings.vm.clone(), incarnation, epoch_length, clock.now()),
         budget: RetryBudget::new(RETRY_SHARE, RETRY_BURST),
         demand,
--- a/savoryport/src/settings.rs
+++ b/savoryport/src/settings.rs
@@ -264,7 +264,7 @@
     }
 
     /// Returns the settings of the entry's decisions.
-    pub fn dispatch(&self) -> DispatchConfig {
+    pub fn dispatch_config(&self) -> DispatchConfig {
         DispatchConfig {
             region: self.region.clone(),
             shares: self.shares_percent.map(|share| f64::from(share) / 100.0),
