--- a/savoryport/src/cli/drain.rs
+++ b/savoryport/src/cli/drain.rs
@@ -12,7 +12,7 @@
 /// Orders a drain, or takes it back.
 pub(super) fn drain(options: &Options, vm: &str) -> Result<String, CliError> {
     let kv = options.kv();
-    let key = keys::mark(&keys::drain_mark(vm));
+    let key = keys::mark_key(&keys::drain_mark(vm));
     let value = if options.undo { "" } else { ORDERED };
     loop {
         let current = kv.get(&key).map_err(|err| CliError::NotReachable(err.to_string()))?;
--- a/savoryport/src/control/leases.rs
+++ b/savoryport/src/control/leases.rs
@@ -155,7 +155,12 @@
         let name = keys::lease_mark(group);
         let value = self.identity();
         // A write without an answer is settled by the marks: the key shows whose it is.
-        match self.cx.platform.put_if(&keys::mark(&name), value.clone().into(), 0, Some(id)).await {
+        match self
+            .cx
+            .platform
+            .put_if(&keys::mark_key(&name), value.clone().into(), 0, Some(id))
+            .await
+        {
             Ok(PutAnswer::Written(revision)) => {
                 log::info!(group = &**group; "lease taken");
                 self.held.groups.insert(group.clone());
@@ -173,7 +178,7 @@
     /// Recognises a lease whose write took effect although its answer was lost.
     async fn adopt(&mut self, group: &Name) {
         let name = keys::lease_mark(group);
-        let Ok(Some(entry)) = self.cx.platform.get(&keys::mark(&name)).await else { return };
+        let Ok(Some(entry)) = self.cx.platform.get(&keys::mark_key(&name)).await else { return };
         let value = String::from_utf8_lossy(&entry.value).into_owned();
         if value == self.identity() {
             log::info!(group = &**group; "lease taken by a write whose answer was lost");
--- a/savoryport/src/control/platform.rs
+++ b/savoryport/src/control/platform.rs
@@ -75,7 +75,7 @@
         name: &str,
         value: &str,
     ) -> Result<Option<Revision>, KvError> {
-        let key = keys::mark(name);
+        let key = keys::mark_key(name);
         let current = self.get(&key).await?.map_or(0, |entry| entry.revision);
         let written = self.put_if(&key, value.as_bytes().to_vec(), current, None).await?;
         let PutAnswer::Written(revision) = written else { return Ok(None) };
--- a/savoryport/src/keys.rs
+++ b/savoryport/src/keys.rs
@@ -51,6 +51,6 @@
 }
 
 /// Returns the key of a mark.
-pub fn mark(name: &str) -> String {
+pub fn mark_key(name: &str) -> String {
     format!("{MARKS}{name}")
 }
