--- a/savoryport/src/control/stewards.rs
+++ b/savoryport/src/control/stewards.rs
@@ -157,7 +157,7 @@
     }
 
     async fn read(&mut self) {
-        let key = keys::server(&self.vm.name);
+        let key = keys::server_key(&self.vm.name);
         match self.cx.platform.get(&key).await {
             Ok(None) => {
                 let record = ServerRecord::new(self.vm.memory_mib, self.vm.checks_fencing);
@@ -175,7 +175,7 @@
     }
 
     async fn write(&mut self, record: ServerRecord, revision: Revision) {
-        let key = keys::server(&self.vm.name);
+        let key = keys::server_key(&self.vm.name);
         let value = serde_json::to_vec(&record).expect("plain values");
         let answer = match self.cx.platform.put_if(&key, value, revision, None).await {
             Ok(PutAnswer::Written(revision)) => {
--- a/savoryport/src/keys.rs
+++ b/savoryport/src/keys.rs
@@ -26,7 +26,7 @@
 pub const PLANNER_GROUP: &str = "planner";
 
 /// Returns the key of a server's ledger.
-pub fn server(name: &str) -> String {
+pub fn server_key(name: &str) -> String {
     format!("{SERVERS}{name}")
 }
 
