--- a/savoryport/src/metrics.rs
+++ b/savoryport/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters and histograms, and the page that shows them.
+//! The metrics of the entry and control daemons, and the HTTP server for metrics and status, which
+//! nodes use as well.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -18,90 +19,92 @@
 
 use crate::rpc::{EntryStatus, RankCounts};
 
-/// How often the metrics page looks whether it is to stop.
-const STOP_POLL: Duration = Duration::from_millis(100);
+/// The interval at which the HTTP server checks whether it is to stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The label of a first token within its target.
+/// The outcome label of a first token that is sent by the request's deadline.
 pub const ON_TIME: &str = "on-time";
 
-/// The label of a first token after its target.
+/// The outcome label of a first token that is sent after the deadline.
 pub const LATE: &str = "late";
 
-/// Labels of a request: whose it is and how urgent.
+/// Labels of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
     /// The caller's name in the settings, or `anonymous`.
     pub caller: String,
-    /// The rank.
+    /// The name of the request's rank.
     pub rank: &'static str,
 }
 
-/// Labels of an ended request.
+/// Labels of an ended request or of a first token.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
-    /// The rank.
+    /// The name of the request's rank.
     pub rank: &'static str,
-    /// `done`, `not-run` or `unknown`.
+    /// `done`, `not-run` or `unknown` for a request, [`ON_TIME`] or [`LATE`] for a first token.
     pub outcome: &'static str,
 }
 
-/// Labels of something that has a cause.
+/// Labels of a refusal, a retry or an order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CauseLabels {
-    /// The cause.
+    /// The cause of the refusal or retry, or the kind of the order.
     pub cause: &'static str,
 }
 
-type Histograms = Family<RequestLabels, Histogram, fn() -> Histogram>;
+type DurationFamily = Family<RequestLabels, Histogram, fn() -> Histogram>;
 
-/// The entry's metrics.
+/// The metrics of an entry.
 #[derive(Clone)]
 pub struct EntryMetrics {
-    /// Ended requests.
+    /// Requests that ended, by rank and outcome.
     pub requests: Family<OutcomeLabels, Counter>,
-    /// Refusals.
+    /// Refused requests, by cause.
     pub refusals: Family<CauseLabels, Counter>,
-    /// Seconds from the arrival to the first token.
-    pub time_to_first_token: Histograms,
-    /// Seconds from the arrival to the end.
-    pub duration: Histograms,
-    /// Retries.
+    /// Time from the arrival of a request to its first token, in seconds.
+    pub time_to_first_token: DurationFamily,
+    /// Time from the arrival of a request to its end, in seconds.
+    pub duration: DurationFamily,
+    /// Retries at another server, by cause.
     pub retries: Family<CauseLabels, Counter>,
-    /// Requests under way.
+    /// Requests in progress.
     pub in_flight: Gauge,
     /// The version of the table in force.
     pub table_version: Gauge,
-    /// First tokens by rank, on time or late.
+    /// First tokens, by rank and whether they were on time.
     pub first_tokens: Family<OutcomeLabels, Counter>,
+    /// The causes of refusals so far.
     refusal_causes: Arc<Mutex<BTreeSet<&'static str>>>,
 }
 
-/// The control process's metrics.
+/// The metrics of a control process.
 #[derive(Clone, Default)]
 pub struct ControlMetrics {
-    /// Orders sent to engines, by direction.
+    /// Orders sent to engines, by kind: `load` or `unload`.
     pub orders: Family<CauseLabels, Counter>,
-    /// Orders without an answer.
+    /// Orders that the engine did not answer.
     pub unanswered_orders: Counter,
-    /// Conditional writes that somebody else came before.
+    /// Conditional writes that failed because another process had written first.
     pub write_conflicts: Counter,
-    /// Calls of the key-value service that failed.
+    /// Calls to the key-value service that failed.
     pub platform_errors: Counter,
-    /// Leases held.
+    /// Leases that this process holds.
     pub leases_held: Gauge,
     /// The version of the table in force.
     pub table_version: Gauge,
     /// The version of the plan in force.
     pub plan_version: Gauge,
-    /// Memory in MiB held back for orders that may still arrive.
+    /// Memory that stays reserved because of load orders that may still arrive, in MiB.
     pub retained_mib: Gauge,
-    /// Models without any copy in memory.
+    /// Models and adapters in the table that no server has in memory.
     pub unreachable_models: Gauge,
-    /// 1 while this process reads the platform itself, 0 while it follows another.
+    /// 1 while this process reads the state from the platform, 0 while it follows another control
+    /// process.
     pub reading_platform: Gauge,
 }
 
-fn seconds() -> Histogram {
+fn duration_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 16))
 }
 
@@ -110,8 +113,10 @@
         Self {
             requests: Family::default(),
             refusals: Family::default(),
-            time_to_first_token: Family::new_with_constructor(seconds as fn() -> Histogram),
-            duration: Family::new_with_constructor(seconds as fn() -> Histogram),
+            time_to_first_token: Family::new_with_constructor(
+                duration_histogram as fn() -> Histogram,
+            ),
+            duration: Family::new_with_constructor(duration_histogram as fn() -> Histogram),
             retries: Family::default(),
             in_flight: Gauge::default(),
             table_version: Gauge::default(),
@@ -122,7 +127,7 @@
 }
 
 impl EntryMetrics {
-    /// Registers everything.
+    /// Returns a registry with all metrics.
     pub fn registry(&self) -> Registry {
         let mut registry = Registry::with_prefix("savoryport_entry");
         registry.register("requests", "Ended requests", self.requests.clone());
@@ -144,7 +149,7 @@
         registry
     }
 
-    /// Returns the counts that operators see at a glance.
+    /// Returns the counts that `savoryport status` shows.
     pub fn status(&self) -> EntryStatus {
         let ranks = Rank::ALL.map(|rank| {
             let count = |family: &Family<OutcomeLabels, Counter>, outcome| {
@@ -158,16 +163,17 @@
                 unknown: count(&self.requests, Outcome::Unknown.name()),
             }
         });
-        let causes = self.refusal_causes.lock().expect("no holder panics");
-        let count =
+        let causes = self.refusal_causes.lock().expect("no thread panics while holding the lock");
+        let refusal_count =
             |cause: &&'static str| self.refusals.get_or_create(&CauseLabels { cause }).get();
-        let refusals = causes.iter().map(|cause| ((*cause).to_owned(), count(cause))).collect();
+        let refusals =
+            causes.iter().map(|cause| ((*cause).to_owned(), refusal_count(cause))).collect();
         EntryStatus { ranks, refusals }
     }
 
     /// Counts a refusal.
     pub fn count_refusal(&self, cause: &'static str) {
-        self.refusal_causes.lock().expect("no holder panics").insert(cause);
+        self.refusal_causes.lock().expect("no thread panics while holding the lock").insert(cause);
         self.refusals.get_or_create(&CauseLabels { cause }).inc();
     }
 
@@ -178,7 +184,7 @@
 }
 
 impl ControlMetrics {
-    /// Registers everything.
+    /// Returns a registry with all metrics.
     pub fn registry(&self) -> Registry {
         let mut registry = Registry::with_prefix("savoryport_control");
         registry.register("orders", "Orders sent to engines", self.orders.clone());
@@ -219,24 +225,24 @@
     }
 }
 
-/// The metrics page cannot be served.
+/// An error that keeps the HTTP server for metrics from starting.
 #[derive(Debug, Error)]
 #[error("cannot listen on {address} for metrics: {problem}")]
 pub struct MetricsServerError {
-    /// The address.
+    /// The address to listen on.
     pub address: String,
-    /// The library's words.
+    /// The error message of the HTTP library.
     pub problem: String,
 }
 
-/// Serves `/metrics`, `/healthz` and `/status` until the token is cancelled.
+/// Serves `/metrics`, `/healthz` and `/status` over HTTP until the token is cancelled.
 ///
-/// The page is for operators, on loopback or the control address; callers cannot reach it, which is
-/// why a simple server without read timeouts will do.
+/// These pages are for operators and are served on loopback or the control address. Callers cannot
+/// reach them, so a simple server without read timeouts is sufficient.
 ///
 /// # Errors
 ///
-/// Returns an error where the address cannot be listened on.
+/// Returns an error if the server cannot listen on the address.
 pub fn serve_metrics(
     address: &str,
     registry: Registry,
@@ -250,16 +256,18 @@
     let registry = Arc::new(registry);
     std::thread::spawn(move || {
         while !cancel.is_cancelled() {
-            let Ok(Some(req)) = server.recv_timeout(STOP_POLL) else { continue };
-            let (code, kind, body) = page(req.url(), &registry, &status);
-            let header = Header::from_bytes("content-type", kind).expect("plain ASCII");
-            let answer = Response::from_string(body).with_status_code(code).with_header(header);
-            let _ = req.respond(answer);
+            let Ok(Some(req)) = server.recv_timeout(STOP_POLL_INTERVAL) else { continue };
+            let (code, content_type, body) = page(req.url(), &registry, &status);
+            let header =
+                Header::from_bytes("content-type", content_type).expect("content types are ASCII");
+            let response = Response::from_string(body).with_status_code(code).with_header(header);
+            let _ = req.respond(response);
         }
     });
     Ok(())
 }
 
+/// Returns the status code, content type and body for a request path.
 fn page(
     path: &str,
     registry: &Registry,
