--- a/savoryport/src/rpc.rs
+++ b/savoryport/src/rpc.rs
@@ -1,4 +1,4 @@
-//! What the processes of savoryport say to each other, over tarpc.
+//! The RPC interface of control processes, over tarpc.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,91 +10,92 @@
 use tarpc::{client, context};
 use thiserror::Error;
 
-/// How much longer than the wait a caller allows for the answer.
-const ANSWER_GRACE: Duration = Duration::from_secs(1);
+/// Timeout for the response to a call, in addition to the wait that the call asks for.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time to connect to another process.
+/// Timeout for connecting to a control process.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a process asks of the control process that it follows.
+/// A request for news from the control process that the sender follows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PullRequest {
-    /// The asking VM.
+    /// The VM of the sender.
     pub vm: Name,
-    /// What it has.
+    /// The versions that the sender has.
     pub have: Versions,
-    /// The longest wait for news in milliseconds.
+    /// The maximum time to wait for news, in milliseconds.
     pub wait_ms: u64,
-    /// Slots in use or asked for by model, as seen by the asking process and those that follow it;
-    /// `None` between two tellings.
+    /// The demand for each model in slots (the mean number of requests in progress, including
+    /// refused ones), as observed by the sender and the processes that follow it; `None` if no
+    /// report is due.
     pub demand: Option<Vec<(Name, f64)>>,
-    /// What the asking entry counted; control processes have none.
+    /// The counts of the sending entry; `None` from a control process.
     pub entry: Option<EntryStatus>,
 }
 
-/// What an entry counted since its start.
+/// The counts of an entry since its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryStatus {
-    /// Counts by rank, the most urgent first.
+    /// The counts by rank, the most urgent first.
     pub ranks: [RankCounts; 3],
-    /// Refusals by cause.
+    /// The number of refusals, by cause.
     pub refusals: BTreeMap<String, u64>,
 }
 
-/// What an entry counted of one rank.
+/// The counts of an entry for one rank.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankCounts {
-    /// First tokens within the target.
+    /// First tokens that were sent by the request's deadline.
     pub on_time: u64,
-    /// First tokens after it.
+    /// First tokens that were sent after the deadline.
     pub late: u64,
-    /// Requests whose whole answer was delivered.
+    /// Requests whose response was delivered completely.
     pub done: u64,
-    /// Requests that did not run.
+    /// Requests that were not executed.
     pub not_run: u64,
-    /// Requests that may have run.
+    /// Requests that may have been executed.
     pub unknown: u64,
 }
 
-/// One VM as its control process knows it.
+/// The status of a VM, as its control process knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmStatus {
-    /// The VM.
+    /// The name of the VM.
     pub vm: Name,
-    /// Its failure domain.
+    /// The failure domain of the VM.
     pub failure_domain: Name,
-    /// The versions in force there.
+    /// The versions that the control process has.
     pub versions: Versions,
-    /// What the entry beside it counted, once it has told.
+    /// The counts of the entry on the VM; `None` until it first reports them.
     pub entry: Option<EntryStatus>,
 }
 
-/// The service of a control process.
+/// The RPC service of a control process.
 #[tarpc::service]
 pub trait ControlService {
-    /// Waits for news and returns what the caller lacks, or nothing after the wait.
+    /// Waits for news and returns the state that the caller lacks, which is empty after a timeout.
     async fn pull(req: PullRequest) -> Update;
-    /// Returns what the VM knows of itself.
+    /// Returns the status of the VM.
     async fn status() -> VmStatus;
 }
 
-/// Why another process gave no news.
+/// The reason why a call to a control process failed.
 #[derive(Debug, Error)]
 pub enum RpcError {
-    /// The address is none, or nobody listens there.
-    #[error("cannot connect to control at {address}: {problem}")]
+    /// The address is invalid, nothing listens on it, or the connection timed out.
+    #[error("cannot connect to the control process at {address}: {problem}")]
     NotConnected {
         /// The address.
         address: String,
-        /// The operating system's words.
+        /// The error message of the operating system, or the timeout.
         problem: String,
     },
-    /// The process did not answer in time, or the connection broke.
-    #[error("control at {address} gave no answer: {problem}")]
+    /// The process did not respond in time, or the connection broke.
+    #[error("control process at {address} did not respond: {problem}")]
     Unanswered {
         /// The address.
         address: String,
-        /// The library's words.
+        /// The error message of the RPC library.
         problem: String,
     },
 }
@@ -111,42 +112,43 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where nobody listens at the address.
+    /// Returns an error if the connection cannot be established within a second.
     pub async fn connect(address: &str) -> Result<Self, RpcError> {
-        let failed = |problem: String| RpcError::NotConnected { address: address.into(), problem };
+        let connect_error =
+            |problem: String| RpcError::NotConnected { address: address.into(), problem };
         let connecting = tarpc::serde_transport::tcp::connect(address, Json::default);
         let transport = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .map_err(|_| failed(format!("no connection within {CONNECT_TIMEOUT:?}")))?
-            .map_err(|err| failed(err.to_string()))?;
+            .map_err(|_| connect_error(format!("no connection within {CONNECT_TIMEOUT:?}")))?
+            .map_err(|err| connect_error(err.to_string()))?;
         let client = ControlServiceClient::new(client::Config::default(), transport).spawn();
         Ok(Self { address: address.to_owned(), client })
     }
 
-    /// Waits for news.
+    /// Waits for news, at most for the time in the request.
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came; the connection is then of no more use.
+    /// Returns an error if no response arrives. The client cannot be used any longer after that.
     pub async fn pull(&self, req: PullRequest) -> Result<Update, RpcError> {
         let mut cx = context::current();
         let wait = Duration::from_millis(req.wait_ms);
-        cx.deadline = std::time::Instant::now() + wait + ANSWER_GRACE;
-        self.client.pull(cx, req).await.map_err(|err| self.unanswered(&err))
+        cx.deadline = std::time::Instant::now() + wait + RESPONSE_TIMEOUT;
+        self.client.pull(cx, req).await.map_err(|err| self.unanswered_error(&err))
     }
 
-    /// Asks for the status of the VM.
+    /// Returns the status of the control process's VM.
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came.
+    /// Returns an error if no response arrives.
     pub async fn status(&self) -> Result<VmStatus, RpcError> {
         let mut cx = context::current();
-        cx.deadline = std::time::Instant::now() + ANSWER_GRACE;
-        self.client.status(cx).await.map_err(|err| self.unanswered(&err))
+        cx.deadline = std::time::Instant::now() + RESPONSE_TIMEOUT;
+        self.client.status(cx).await.map_err(|err| self.unanswered_error(&err))
     }
 
-    fn unanswered(&self, err: &client::RpcError) -> RpcError {
+    fn unanswered_error(&self, err: &client::RpcError) -> RpcError {
         let (address, problem) = (self.address.clone(), err.to_string());
         RpcError::Unanswered { address, problem }
     }
