--- a/savoryport/src/daemon.rs
+++ b/savoryport/src/daemon.rs
@@ -11,7 +11,7 @@
 use crate::logging;
 use crate::settings::Settings;
 
-/// The exit status for invalid arguments or settings and for a daemon that cannot start its runtime.
+/// The exit status for invalid arguments or settings, and for a daemon whose runtime cannot start.
 const EXIT_USAGE: u8 = 2;
 
 /// Parses the arguments, reads the settings and runs a daemon until it stops.
