--- a/savoryport/src/cli/table.rs
+++ b/savoryport/src/cli/table.rs
@@ -1,8 +1,9 @@
-//! Reading, checking and changing the table.
+//! The `table` commands, which print, check, compare and change the table.
 //!
-//! A change is a compare-and-swap on the version that the operator started from. Where its answer is
-//! lost, the same write is sent again: the key's revision lets only one of them take effect, and the
-//! change id shows whose it was. So the command says accepted, refused or unknown, and never guesses.
+//! A change is a compare-and-swap on the version that the operator started from. If the response to
+//! a write is lost, the same write is sent again. The key's revision ensures that only one of the
+//! writes takes effect, and the change id shows whose change it was. The command can therefore
+//! report reliably that a change was accepted, was refused, or has an unknown outcome.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -19,19 +20,20 @@
 pub use super::arguments::Options;
 use crate::keys;
 
-/// How long a change without an answer is pursued.
-const SETTLE_TIME: Duration = Duration::from_secs(20);
+/// The time after which `apply` stops sending a write again.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The pause between two tries.
+/// The delay before a write is sent again.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Prints the table in force, or writes it with a note of its version beside it.
+/// Returns the table in force as CSV. If a path is given, writes the table to that file instead,
+/// and to a base file next to it that `apply` needs.
 ///
 /// # Errors
 ///
-/// Returns an error where the platform cannot be read or the file not be written.
+/// Returns an error if the platform cannot be read or a file cannot be written.
 pub fn get(options: &Options, path: Option<&Path>) -> Result<String, CliError> {
-    let (table, _) = read(&options.kv())?;
+    let (table, _) = read_table(&options.kv_client())?;
     let Some(path) = path else { return Ok(to_csv(&table.rows)) };
     write_file(path, &to_csv(&table.rows))?;
     write_base(path, &table)?;
@@ -39,11 +41,12 @@
     Ok(format!("{}: {rows} rows of version {version}", path.display()))
 }
 
-/// Checks a file, and with the list of VMs whether the fleet can hold it.
+/// Checks a table file, and whether it fits into the fleet's memory if the list of VMs is given.
 ///
 /// # Errors
 ///
-/// Returns every wrong cell.
+/// Returns an error if the file cannot be read, has invalid cells, all of which are listed, or does
+/// not fit into the fleet's memory.
 pub fn check(options: &Options, path: &Path) -> Result<String, CliError> {
     let rows = read_file(path)?;
     if options.vm_list.is_some() {
@@ -52,30 +55,30 @@
     Ok(format!("{}: {} rows are good", path.display(), rows.len()))
 }
 
-/// Shows the rows of a file that differ from the table in force.
+/// Describes the rows of a file that differ from the table in force.
 ///
 /// # Errors
 ///
-/// Returns an error where the file is wrong or the platform cannot be read.
+/// Returns an error if the file is invalid or the platform cannot be read.
 pub fn diff(options: &Options, path: &Path) -> Result<String, CliError> {
     let rows = read_file(path)?;
-    let (table, _) = read(&options.kv())?;
-    Ok(describe(&table, &rows))
+    let (table, _) = read_table(&options.kv_client())?;
+    Ok(describe_changes(&table, &rows))
 }
 
-/// Puts a file in force.
+/// Writes the rows of a file as the new version of the table.
 ///
 /// # Errors
 ///
-/// Returns an error that tells whether anything changed.
+/// Returns an error that says whether the table changed.
 pub fn apply(options: &Options, path: &Path) -> Result<String, CliError> {
     let mut rows = read_file(path)?;
     let mut base = read_base(options, path)?;
-    let kv = options.kv();
+    let kv = options.kv_client();
     let change_id = format!("{:016x}", rand::random::<u64>());
-    let deadline = Instant::now() + SETTLE_TIME;
+    let deadline = Instant::now() + APPLY_TIMEOUT;
     loop {
-        let (current, revision) = read(&kv)?;
+        let (current, revision) = read_table(&kv)?;
         if current.version != base.version {
             rows = resolve_conflict(options, &base, &rows, &current)?;
             base = current;
@@ -84,39 +87,44 @@
             check_against_fleet(options, path, &rows)?;
         }
         let (version, change_id) = (base.version + 1, change_id.clone());
-        let next = Table { version, change_id, rows: rows.clone() };
-        let value = next.encode().map_err(|err| refused(path, &err))?;
-        match put(&kv, &value, &next, revision, deadline)? {
-            Put::Accepted => {
-                write_base(path, &next)?;
-                return Ok(format!("accepted as version {}", next.version));
+        let new_table = Table { version, change_id, rows: rows.clone() };
+        let value = new_table.encode().map_err(|err| table_error(path, &err))?;
+        match put_table(&kv, &value, &new_table, revision, deadline)? {
+            PutOutcome::Accepted => {
+                write_base(path, &new_table)?;
+                return Ok(format!("accepted as version {}", new_table.version));
             }
-            // Somebody else wrote first: look again at what stands there now.
-            Put::Conflict => {}
+            // Another operator wrote first: starts again from the table that is now in force.
+            PutOutcome::Conflict => {}
         }
     }
 }
 
-enum Put {
+/// The outcome of a write of the table.
+enum PutOutcome {
     Accepted,
     Conflict,
 }
 
-/// Writes until it is known what became of the write.
-fn put(
+/// Writes the table, again and again until the outcome is known or the deadline has passed.
+fn put_table(
     kv: &EtcdClient,
     value: &[u8],
-    next: &Table,
+    new_table: &Table,
     revision: Revision,
     deadline: Instant,
-) -> Result<Put, CliError> {
+) -> Result<PutOutcome, CliError> {
     let mut was_unanswered = false;
     loop {
         match kv.put_if(keys::TABLE, value, revision, None) {
-            Ok(PutAnswer::Written(_)) => return Ok(Put::Accepted),
-            Ok(PutAnswer::Conflict) if was_unanswered => return settle(kv, next),
-            Ok(PutAnswer::Conflict) => return Ok(Put::Conflict),
-            Err(err) if Instant::now() >= deadline => return Err(unsettled(was_unanswered, &err)),
+            Ok(PutAnswer::Written(_)) => return Ok(PutOutcome::Accepted),
+            Ok(PutAnswer::Conflict) if was_unanswered => {
+                return outcome_after_conflict(kv, new_table);
+            }
+            Ok(PutAnswer::Conflict) => return Ok(PutOutcome::Conflict),
+            Err(err) if Instant::now() >= deadline => {
+                return Err(timeout_error(was_unanswered, &err));
+            }
             Err(KvError::NotReachable { .. } | KvError::Refused(_)) => {}
             Err(KvError::Unanswered(_) | KvError::Malformed(_)) => was_unanswered = true,
         }
@@ -124,13 +132,14 @@
     }
 }
 
-/// Finds out whether an earlier write of ours is what stands in the way.
-fn settle(kv: &EtcdClient, next: &Table) -> Result<Put, CliError> {
-    let (current, _) = read(kv)?;
-    if current.change_id == next.change_id {
-        Ok(Put::Accepted)
-    } else if current.version <= next.version {
-        Ok(Put::Conflict)
+/// Returns the outcome of a write that met a conflict after an earlier attempt got no response.
+/// That attempt may itself have caused the conflict.
+fn outcome_after_conflict(kv: &EtcdClient, new_table: &Table) -> Result<PutOutcome, CliError> {
+    let (current, _) = read_table(kv)?;
+    if current.change_id == new_table.change_id {
+        Ok(PutOutcome::Accepted)
+    } else if current.version <= new_table.version {
+        Ok(PutOutcome::Conflict)
     } else {
         let message = format!(
             "unknown: version {} is in force; whether this change was in force before it is not \
@@ -141,7 +150,7 @@
     }
 }
 
-fn unsettled(was_unanswered: bool, err: &KvError) -> CliError {
+fn timeout_error(was_unanswered: bool, err: &KvError) -> CliError {
     if was_unanswered {
         CliError::OutcomeUnknown(format!("unknown: the change may still take effect: {err}"))
     } else {
@@ -149,10 +158,11 @@
     }
 }
 
+/// Merges the rows with a table that was changed meanwhile, or refuses them without `--merge`.
 fn resolve_conflict(
     options: &Options,
     base: &Table,
-    ours: &[Row],
+    rows: &[Row],
     current: &Table,
 ) -> Result<Vec<Row>, CliError> {
     if !options.merge {
@@ -161,15 +171,17 @@
              Changed meanwhile:\n{}Get the table again, or keep both with --merge.",
             current.version,
             base.version,
-            describe(base, &current.rows)
+            describe_changes(base, &current.rows)
         );
         return Err(CliError::Refused(message));
     }
-    merge_rows(&base.rows, ours, &current.rows)
+    merge_rows(&base.rows, rows, &current.rows)
         .map_err(|err| CliError::Refused(format!("refused: {err}")))
 }
 
-fn describe(old: &Table, rows: &[Row]) -> String {
+/// Describes the rows that differ from a table, one per line: added with `+`, changed with `~` and
+/// removed with `-`.
+fn describe_changes(old: &Table, rows: &[Row]) -> String {
     let new = Table { rows: rows.to_vec(), ..old.clone() };
     let mut text = String::new();
     for change in TableDelta::between(old, &new).changes {
@@ -187,7 +199,8 @@
     if text.is_empty() { "no row differs\n".to_owned() } else { text }
 }
 
-fn read(kv: &EtcdClient) -> Result<(Table, Revision), CliError> {
+/// Returns the table in force and its revision, or an empty table and 0 if there is none.
+fn read_table(kv: &EtcdClient) -> Result<(Table, Revision), CliError> {
     let entry = kv.get(keys::TABLE).map_err(|err| CliError::NotReachable(err.to_string()))?;
     let Some(entry) = entry else { return Ok((Table::default(), 0)) };
     let table = serde_json::from_slice(&entry.value)
@@ -197,30 +210,32 @@
 
 fn check_against_fleet(options: &Options, path: &Path, rows: &[Row]) -> Result<(), CliError> {
     let Some(address) = &options.vm_list else {
-        let message = "give --vm-list or --settings to check the fleet, or --no-fleet-check";
+        let message =
+            "use --vm-list or --settings to check against the fleet's memory, or --no-fleet-check";
         return Err(CliError::Usage(message.to_owned()));
     };
     let list = vms::fetch(address, options.timeout)
         .map_err(|err| CliError::NotReachable(err.to_string()))?;
     let capacities: Vec<u32> =
         list.engines().filter(|vm| !vm.leaving).map(|vm| vm.memory_mib).collect();
-    check_memory_fit(rows, &capacities).map_err(|err| refused(path, &err))
+    check_memory_fit(rows, &capacities).map_err(|err| table_error(path, &err))
 }
 
 fn read_file(path: &Path) -> Result<Vec<Row>, CliError> {
     let buf =
         fs::read(path).map_err(|err| CliError::Refused(format!("{}: {err}", path.display())))?;
-    let rows = parse_csv(&buf).map_err(|err| refused(path, &err))?;
+    let rows = parse_csv(&buf).map_err(|err| table_error(path, &err))?;
     let table = Table { rows, ..Table::default() };
-    table.encode().map_err(|err| refused(path, &err))?;
+    table.encode().map_err(|err| table_error(path, &err))?;
     Ok(table.rows)
 }
 
-fn refused(path: &Path, err: &TableError) -> CliError {
+fn table_error(path: &Path, err: &TableError) -> CliError {
     CliError::Refused(format!("{}:\n{err}", path.display()))
 }
 
-/// Returns the file beside a table that holds the version it was made from.
+/// Returns the path of the base file next to a table file. It holds the table, with its version,
+/// that the file was made from.
 fn base_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".base.json");
@@ -228,7 +243,7 @@
 }
 
 fn write_base(path: &Path, table: &Table) -> Result<(), CliError> {
-    let text = serde_json::to_string(table).expect("plain values");
+    let text = serde_json::to_string(table).expect("plain fields serialize");
     write_file(&base_path(path), &text)
 }
 
@@ -242,7 +257,7 @@
     }
     let path = base_path(path);
     let text = fs::read_to_string(&path).map_err(|err| {
-        let hint = "start from 'savoryport table get FILE.csv', or give --first";
+        let hint = "start from 'savoryport table get FILE.csv', or use --first";
         CliError::Refused(format!("{}: {err}\n{hint}", path.display()))
     })?;
     serde_json::from_str(&text)
