--- a/savoryport/tests/settings.rs
+++ b/savoryport/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: every wrong field at once, unknown keys named, the examples good.
+//! Tests of the daemons' settings: defaults, reports of invalid fields and unknown keys, and the
+//! example files.
 
 use assert_matches::assert_matches;
 use savoryport::settings::{Settings, SettingsError};
@@ -11,13 +12,13 @@
 }
 
 #[test]
-fn every_wrong_field_is_named_at_once_with_its_value() {
+fn all_invalid_fields_are_reported_at_once_with_their_values() {
     let text = r#"{
         "vm": "", "entry_listen": "somewhere", "max_body_bytes": -1, "read_timeout_ms": 0,
         "shares_percent": [60, 30, 20], "lease_ttl_ms": 1500, "log_level": "loud", "peers": ["x"]
     }"#;
     let Err(SettingsError::InvalidFields(errors)) = Settings::parse(text) else {
-        panic!("refused")
+        panic!("expected invalid fields")
     };
     let mut fields: Vec<&str> = errors.iter().map(|err| err.field.as_str()).collect();
     fields.sort_unstable();
@@ -37,23 +38,23 @@
 }
 
 #[test]
-fn unknown_keys_are_named_and_do_no_harm() {
+fn unknown_keys_are_reported_and_ignored() {
     let checked = Settings::parse(r#"{"vm": "vm-9", "colour": "green"}"#).unwrap();
     assert_eq!((&*checked.settings.vm, checked.unknown_keys), ("vm-9", vec!["colour".to_owned()]));
 }
 
 #[test]
-fn what_is_no_object_is_refused() {
+fn text_that_is_not_a_json_object_is_rejected() {
     for text in ["", "[]", "{", "null", "{\"vm\": 1", "\u{0}"] {
         assert_matches!(Settings::parse(text), Err(SettingsError::NotJson(_)), "{text:?}");
     }
 }
 
 #[test]
-fn the_examples_are_good() {
-    for folder in ["vilnas-kods", "kivela"] {
+fn the_example_settings_and_tables_are_valid() {
+    for example in ["vilnas-kods", "kivela"] {
         let folder =
-            std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples").join(folder);
+            std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples").join(example);
         let checked = Settings::read(&folder.join("settings.json")).unwrap();
         assert!(checked.unknown_keys.is_empty());
         let table = std::fs::read(folder.join("table.csv")).unwrap();
@@ -66,15 +67,16 @@
 }
 
 proptest::proptest! {
-    /// No text whatever makes the reader panic.
+    /// Parsing does not panic on any text.
     #[test]
-    fn any_text_is_read_or_refused(text in ".{0,200}") {
+    fn parsing_arbitrary_text_does_not_panic(text in ".{0,200}") {
         let _ = Settings::parse(&text);
     }
 
-    /// Objects with real fields and any values reach the deeper checks.
+    /// Objects with known fields and arbitrary values get past the JSON parser to the checks of
+    /// types and values.
     #[test]
-    fn any_values_are_read_or_refused(
+    fn parsing_arbitrary_field_values_does_not_panic(
         number: i64, text in ".{0,10}", field in 0..8_usize
     ) {
         let fields = ["vm", "peers", "callers", "shares_percent", "max_limit", "lease_ttl_ms",
