--- a/savoryport/src/control/kv_client.rs
+++ b/savoryport/src/control/kv_client.rs
@@ -76,7 +76,7 @@
         name: &str,
         value: &str,
     ) -> Result<Option<Revision>, KvError> {
-        let key = keys::mark(name);
+        let key = keys::mark_key(name);
         let current_revision = self.get(&key).await?.map_or(0, |entry| entry.revision);
         let result = self.put_if(&key, value.as_bytes().to_vec(), current_revision, None).await?;
         let PutAnswer::Written(revision) = result else { return Ok(None) };
--- a/savoryport/src/control/leases.rs
+++ b/savoryport/src/control/leases.rs
@@ -165,7 +165,12 @@
         let value = self.mark_value();
         // A write whose response is lost may still take effect; the key then has this process's own
         // value.
-        match self.cx.kv.put_if(&keys::mark(&mark_name), value.clone().into(), 0, Some(id)).await {
+        match self
+            .cx
+            .kv
+            .put_if(&keys::mark_key(&mark_name), value.clone().into(), 0, Some(id))
+            .await
+        {
             Ok(PutAnswer::Written(revision)) => {
                 log::info!(group = &**group; "acquired the lease");
                 self.held.groups.insert(group.clone());
@@ -184,7 +189,7 @@
     /// although its response was lost.
     async fn adopt_own_lease(&mut self, group: &Name) {
         let mark_name = keys::lease_mark(group);
-        let Ok(Some(entry)) = self.cx.kv.get(&keys::mark(&mark_name)).await else { return };
+        let Ok(Some(entry)) = self.cx.kv.get(&keys::mark_key(&mark_name)).await else { return };
         let value = String::from_utf8_lossy(&entry.value).into_owned();
         if value == self.mark_value() {
             log::info!(group = &**group; "acquired the lease by a write whose response was lost");
--- a/savoryport/src/control/mod.rs
+++ b/savoryport/src/control/mod.rs
@@ -26,7 +26,7 @@
 
 use self::kv_client::KvClient;
 use self::shared_state::SharedState;
-use crate::metrics::{ControlMetrics, PageError, serve_page};
+use crate::metrics::{ControlMetrics, MetricsServerError, serve_metrics};
 use crate::settings::Settings;
 
 /// How often the gauges are updated.
@@ -45,7 +45,7 @@
     },
     /// Listening on the address of the metrics page failed.
     #[error(transparent)]
-    Page(#[from] PageError),
+    Page(#[from] MetricsServerError),
 }
 
 /// The state that every task of the control process uses.
@@ -79,7 +79,7 @@
     rpc_server::start(&cx, cancel.clone()).await?;
     let status_cx = cx.clone();
     let address = &cx.settings.control_metrics_listen;
-    serve_page(address, cx.metrics.registry(), move || status(&status_cx), cancel.clone())?;
+    serve_metrics(address, cx.metrics.registry(), move || status(&status_cx), cancel.clone())?;
     let replicating =
         cancel.clone().run_until_cancelled_owned(replication::run(cx.clone())).map(drop);
     let gauges = cancel.clone().run_until_cancelled_owned(update_gauges(cx.clone())).map(drop);
--- a/savoryport/src/control/reconcile.rs
+++ b/savoryport/src/control/reconcile.rs
@@ -160,7 +160,7 @@
     }
 
     async fn read_record(&mut self) {
-        let key = keys::server(&self.vm.name);
+        let key = keys::server_key(&self.vm.name);
         match self.cx.kv.get(&key).await {
             Ok(None) => {
                 let record = ServerRecord::new(self.vm.memory_mib, self.vm.checks_fencing);
@@ -178,7 +178,7 @@
     }
 
     async fn write_record(&mut self, record: ServerRecord, revision: Revision) {
-        let key = keys::server(&self.vm.name);
+        let key = keys::server_key(&self.vm.name);
         let value = serde_json::to_vec(&record).expect("a record can be serialized");
         let result = match self.cx.kv.put_if(&key, value, revision, None).await {
             Ok(PutAnswer::Written(revision)) => {
--- a/savoryport/src/control/rpc_server.rs
+++ b/savoryport/src/control/rpc_server.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{Context, ControlError};
-use crate::rpc::{NodeStatus, PullRequest, Relay};
+use crate::rpc::{ControlService, PullRequest, VmStatus};
 
 /// The maximum time that a pull waits for changes.
 const MAX_WAIT: Duration = Duration::from_secs(10);
@@ -20,7 +20,7 @@
     cx: Context,
 }
 
-impl Relay for RpcServer {
+impl ControlService for RpcServer {
     async fn pull(self, _: context::Context, req: PullRequest) -> Update {
         if let Some(demand) = req.demand {
             self.cx.state.record_demand(&req.vm, demand, self.cx.clock.now());
@@ -41,8 +41,8 @@
         tokio::time::timeout(timeout, next_update).await.unwrap_or_default()
     }
 
-    async fn status(self, _: context::Context) -> NodeStatus {
-        NodeStatus {
+    async fn status(self, _: context::Context) -> VmStatus {
+        VmStatus {
             vm: self.cx.settings.vm.clone(),
             failure_domain: self.cx.settings.failure_domain.clone(),
             versions: self.cx.state.replica().versions(),
--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -410,12 +410,12 @@
 
     fn record_first_token(&self, now: Instant) {
         let metrics = &self.cx.metrics;
-        let labels = EntryMetrics::labels(&self.caller, self.rank);
+        let labels = EntryMetrics::request_labels(&self.caller, self.rank);
         let time = now.saturating_duration_since(self.arrived_at);
-        metrics.first_token.get_or_create(&labels).observe(time.as_secs_f64());
+        metrics.time_to_first_token.get_or_create(&labels).observe(time.as_secs_f64());
         let outcome = if now <= self.deadline { ON_TIME } else { LATE };
         let labels = OutcomeLabels { rank: self.rank.name(), outcome };
-        metrics.on_time.get_or_create(&labels).inc();
+        metrics.first_tokens.get_or_create(&labels).inc();
     }
 
     fn record_completion(&mut self, mut in_flight: InFlight, sent_at: Instant) {
@@ -437,7 +437,7 @@
         let metrics = &self.cx.metrics;
         let labels = OutcomeLabels { rank: self.rank.name(), outcome: outcome.name() };
         metrics.requests.get_or_create(&labels).inc();
-        let labels = EntryMetrics::labels(&self.caller, self.rank);
+        let labels = EntryMetrics::request_labels(&self.caller, self.rank);
         let time = self.cx.clock.now().saturating_duration_since(self.arrived_at);
         metrics.duration.get_or_create(&labels).observe(time.as_secs_f64());
     }
--- a/savoryport/src/entry/mod.rs
+++ b/savoryport/src/entry/mod.rs
@@ -31,7 +31,7 @@
 use tokio_util::task::TaskTracker;
 
 use self::dispatcher::DispatcherHandle;
-use crate::metrics::{EntryMetrics, PageError, serve_page};
+use crate::metrics::{EntryMetrics, MetricsServerError, serve_metrics};
 use crate::settings::Settings;
 
 /// An error that prevents the entry from starting.
@@ -47,7 +47,7 @@
     },
     /// The metrics server cannot be started.
     #[error(transparent)]
-    Page(#[from] PageError),
+    Page(#[from] MetricsServerError),
 }
 
 /// The state that all requests of the process share.
@@ -150,7 +150,7 @@
     }
 }
 
-fn serve_status(cx: &Arc<Context>, cancel: CancellationToken) -> Result<(), PageError> {
+fn serve_status(cx: &Arc<Context>, cancel: CancellationToken) -> Result<(), MetricsServerError> {
     let registry = cx.metrics.registry();
     let page_cx = cx.clone();
     let status = move || {
@@ -164,5 +164,5 @@
             "draining": cx.is_draining(),
         })
     };
-    serve_page(&cx.settings.entry_metrics_listen, registry, status, cancel)
+    serve_metrics(&cx.settings.entry_metrics_listen, registry, status, cancel)
 }
