--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -263,11 +263,15 @@
         let address: Name = server.address.to_string().into();
         let connect_timeout =
             Duration::from_millis(self.cx.settings.connect_timeout_ms).min(self.remaining_time());
-        let mut connection =
-            match self.cx.request_pool.connect_within(&address, max_idle, connect_timeout).await {
-                Ok(connection) => connection,
-                Err(err) => return self.on_connect_failure(selected, &err),
-            };
+        let mut connection = match self
+            .cx
+            .request_pool
+            .connect_with_max_idle(&address, max_idle, connect_timeout)
+            .await
+        {
+            Ok(connection) => connection,
+            Err(err) => return self.on_connect_failure(selected, &err),
+        };
         let in_flight = InFlightRequest::begin(self, selected);
         self.attempted_servers.push(server.id.clone());
         let sent_at = self.cx.now();
--- a/savoryport_platform/src/connection.rs
+++ b/savoryport_platform/src/connection.rs
@@ -90,7 +90,7 @@
         timeout: Duration,
     ) -> Result<Connection, SendError> {
         let max_idle = if may_reuse { Duration::MAX } else { Duration::ZERO };
-        self.connect_within(address, max_idle, timeout).await
+        self.connect_with_max_idle(address, max_idle, timeout).await
     }
 
     /// Returns a connection, one that was idle for no longer than `max_idle` if there is one.
@@ -98,7 +98,7 @@
     /// # Errors
     ///
     /// Returns [`SendError::NotConnected`] where none came to stand in time.
-    pub async fn connect_within(
+    pub async fn connect_with_max_idle(
         &self,
         address: &Name,
         max_idle: Duration,
