--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -344,7 +344,7 @@
                 }
                 Ok(StreamEvent::Done) => {
                     self.record_completion(in_flight, sent_at);
-                    self.cx.pool.give_back(connection);
+                    self.cx.pool.release(connection);
                     let _ = caller.send_done().await;
                     return Ok(());
                 }
@@ -376,7 +376,7 @@
             if let Ok(Ok(body)) = tokio::time::timeout(stall_timeout, body.collect()).await {
                 self.record_token(&mut in_flight, sent_at);
                 self.record_completion(in_flight, sent_at);
-                self.cx.pool.give_back(connection);
+                self.cx.pool.release(connection);
                 let response = Response::builder()
                     .header(CONTENT_TYPE, "application/json")
                     .header(OUTCOME_HEADER, Outcome::Done.name());
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -285,7 +285,7 @@
             return None;
         }
         self.on_event(RequestEvent::Finished);
-        cx.pool.give_back(connection);
+        cx.pool.release(connection);
         Some(response_to_caller(&Response::from_parts(head, ()), body))
     }
 
--- a/savoryport_platform/src/connection.rs
+++ b/savoryport_platform/src/connection.rs
@@ -118,7 +118,7 @@
     }
 
     /// Takes back a connection whose answer was read to its end.
-    pub fn give_back(&self, connection: Connection) {
+    pub fn release(&self, connection: Connection) {
         self.keep(connection, None);
     }
 
--- a/savoryport_platform/tests/engine_contract.rs
+++ b/savoryport_platform/tests/engine_contract.rs
@@ -107,7 +107,7 @@
         let (pool, address) = (Pool::default(), proxy.address().into());
         let mut first = pool.connect(&address, true, TIMEOUT).await.unwrap();
         first.send(request("one")).await.unwrap().into_body().collect().await.unwrap();
-        pool.give_back(first);
+        pool.release(first);
         // The answer to the next request is lost together with its connection.
         service.set_faults(|faults| faults.delay = Duration::from_millis(200));
         let mut second = pool.connect(&address, true, TIMEOUT).await.unwrap();
@@ -131,7 +131,7 @@
         let (pool, address) = (Pool::default(), proxy.address().into());
         let mut first = pool.connect(&address, true, TIMEOUT).await.unwrap();
         first.send(request("one")).await.unwrap().into_body().collect().await.unwrap();
-        pool.give_back(first);
+        pool.release(first);
         proxy.silence_open();
         let mut fresh = pool.connect(&address, false, TIMEOUT).await.unwrap();
         let answered = tokio::time::timeout(TIMEOUT, fresh.send(request("two"))).await;
