--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -91,7 +91,10 @@
                     let OpenedResponse { connection, headers, in_flight, .. } = opened;
                     drop(in_flight);
                     self.request.record_outcome(&selected.server.id, ServerOutcome::Answered);
-                    self.request.cx.request_pool.keep(connection, keep_alive(&headers));
+                    self.request
+                        .cx
+                        .request_pool
+                        .release_with_keep_alive(connection, keep_alive(&headers));
                     return self.request.log_end("streamed", status, None);
                 }
                 StreamEnd::CallerLeft => return self.request.log_end("caller-left", status, None),
--- a/savoryport_platform/src/connection.rs
+++ b/savoryport_platform/src/connection.rs
@@ -119,11 +119,11 @@
 
     /// Takes back a connection whose answer was read to its end.
     pub fn release(&self, connection: Connection) {
-        self.keep(connection, None);
+        self.release_with_keep_alive(connection, None);
     }
 
     /// Takes back a connection that the server closes after `keep_alive` without a request.
-    pub fn keep(&self, connection: Connection, keep_alive: Option<Duration>) {
+    pub fn release_with_keep_alive(&self, connection: Connection, keep_alive: Option<Duration>) {
         let mut idle = self.idle.lock().expect("no holder panics");
         let connections = idle.entry(connection.address.clone()).or_default();
         if !connection.sender.is_closed() && connections.len() < MAX_IDLE_PER_SERVER {
