--- a/savoryport_platform/src/connection.rs
+++ b/savoryport_platform/src/connection.rs
@@ -134,7 +134,7 @@
     }
 
     /// Closes the idle connections to an address.
-    pub fn forget(&self, address: &str) {
+    pub fn close_idle(&self, address: &str) {
         self.idle.lock().expect("no holder panics").remove(address);
     }
 
