--- a/savoryport/src/cli/drain.rs
+++ b/savoryport/src/cli/drain.rs
@@ -1,6 +1,6 @@
 //! Drains: a VM gets no new work until the drain is taken back.
 
-use savoryport_platform::kv::{KeyValue, KvError, PutAnswer};
+use savoryport_platform::kv::{KeyValue, KvError, PutResult};
 
 use super::CliError;
 use super::arguments::Options;
@@ -18,11 +18,11 @@
         let current = kv.get(&key).map_err(|err| CliError::NotReachable(err.to_string()))?;
         let revision = current.map_or(0, |entry| entry.revision);
         match kv.put_if(&key, value.as_bytes(), revision, None) {
-            Ok(PutAnswer::Written(_)) if options.undo => {
+            Ok(PutResult::Written(_)) if options.undo => {
                 return Ok(format!("{vm}: drain taken back"));
             }
-            Ok(PutAnswer::Written(_)) => return Ok(format!("{vm}: gets no new work")),
-            Ok(PutAnswer::Conflict) => {}
+            Ok(PutResult::Written(_)) => return Ok(format!("{vm}: gets no new work")),
+            Ok(PutResult::Conflict) => {}
             Err(err @ (KvError::NotReachable { .. } | KvError::Refused(_))) => {
                 return Err(CliError::NotReachable(err.to_string()));
             }
--- a/savoryport/src/cli/table.rs
+++ b/savoryport/src/cli/table.rs
@@ -12,7 +12,7 @@
 use savoryport_core::table::{
     Row, RowChange, Table, TableDelta, TableError, check_memory_fit, merge_rows, parse_csv, to_csv,
 };
-use savoryport_platform::kv::{EtcdClient, KeyValue, KvError, PutAnswer, Revision};
+use savoryport_platform::kv::{EtcdClient, KeyValue, KvError, PutResult, Revision};
 use savoryport_platform::vms;
 
 use super::CliError;
@@ -113,9 +113,9 @@
     let mut was_unanswered = false;
     loop {
         match kv.put_if(keys::TABLE, value, revision, None) {
-            Ok(PutAnswer::Written(_)) => return Ok(Put::Accepted),
-            Ok(PutAnswer::Conflict) if was_unanswered => return settle(kv, next),
-            Ok(PutAnswer::Conflict) => return Ok(Put::Conflict),
+            Ok(PutResult::Written(_)) => return Ok(Put::Accepted),
+            Ok(PutResult::Conflict) if was_unanswered => return settle(kv, next),
+            Ok(PutResult::Conflict) => return Ok(Put::Conflict),
             Err(err) if Instant::now() >= deadline => return Err(unsettled(was_unanswered, &err)),
             Err(KvError::NotReachable { .. } | KvError::Refused(_)) => {}
             Err(KvError::Unanswered(_) | KvError::Malformed(_)) => was_unanswered = true,
--- a/savoryport/src/control/kv_client.rs
+++ b/savoryport/src/control/kv_client.rs
@@ -6,7 +6,7 @@
 use prometheus_client::metrics::counter::Counter;
 use savoryport_core::replica::Mark;
 use savoryport_platform::kv::{
-    Entry, EtcdClient, Event, KeyValue, KvError, LeaseId, PutAnswer, Revision,
+    Entry, EtcdClient, Event, KeyValue, KvError, LeaseId, PutResult, Revision,
 };
 
 use super::shared_state::SharedState;
@@ -40,7 +40,7 @@
         value: Vec<u8>,
         expected: Revision,
         lease: Option<LeaseId>,
-    ) -> Result<PutAnswer, KvError> {
+    ) -> Result<PutResult, KvError> {
         let key = key.to_owned();
         self.call(move |client| client.put_if(&key, &value, expected, lease)).await
     }
@@ -79,7 +79,7 @@
         let key = keys::mark(name);
         let current_revision = self.get(&key).await?.map_or(0, |entry| entry.revision);
         let result = self.put_if(&key, value.as_bytes().to_vec(), current_revision, None).await?;
-        let PutAnswer::Written(revision) = result else { return Ok(None) };
+        let PutResult::Written(revision) = result else { return Ok(None) };
         let value = (!value.is_empty()).then(|| value.into());
         state.merge_mark(name, Mark { revision, value });
         Ok(Some(revision))
--- a/savoryport/src/control/leases.rs
+++ b/savoryport/src/control/leases.rs
@@ -12,7 +12,7 @@
 use savoryport_core::lease::Lease;
 use savoryport_core::ledger::HolderId;
 use savoryport_core::replica::Mark;
-use savoryport_platform::kv::{LeaseId, PutAnswer};
+use savoryport_platform::kv::{LeaseId, PutResult};
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
@@ -166,13 +166,13 @@
         // A write whose response is lost may still take effect; the key then has this process's own
         // value.
         match self.cx.kv.put_if(&keys::mark(&mark_name), value.clone().into(), 0, Some(id)).await {
-            Ok(PutAnswer::Written(revision)) => {
+            Ok(PutResult::Written(revision)) => {
                 log::info!(group = &**group; "acquired the lease");
                 self.held.groups.insert(group.clone());
                 let value = Some(value.into());
                 self.cx.state.merge_mark(&mark_name, Mark { revision, value });
             }
-            Ok(PutAnswer::Conflict) => {
+            Ok(PutResult::Conflict) => {
                 self.free_since.remove(group);
                 self.adopt_own_lease(group).await;
             }
--- a/savoryport/src/control/planner.rs
+++ b/savoryport/src/control/planner.rs
@@ -9,7 +9,7 @@
 use savoryport_core::fleet::Vm;
 use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, compute_plan};
 use savoryport_core::replica::{Replica, Update};
-use savoryport_platform::kv::{KvError, PutAnswer, Revision};
+use savoryport_platform::kv::{KvError, PutResult, Revision};
 
 use super::Context;
 use super::leases::HeldLeasesReceiver;
@@ -54,7 +54,7 @@
     .await;
     let Ok(Some(new_plan)) = new_plan else { return Ok(()) };
     let value = serde_json::to_vec(&new_plan).expect("a plan can be serialized");
-    if let PutAnswer::Written(_) = cx.kv.put_if(keys::PLAN, value, revision, None).await? {
+    if let PutResult::Written(_) = cx.kv.put_if(keys::PLAN, value, revision, None).await? {
         log::info!(version = new_plan.version; "stored a new plan");
         cx.state.merge(Update { plan: Some(new_plan), ..Update::default() });
     }
--- a/savoryport/src/control/reconcile.rs
+++ b/savoryport/src/control/reconcile.rs
@@ -13,7 +13,7 @@
 use savoryport_core::load_slots;
 use savoryport_core::replica::{Replica, Residency};
 use savoryport_platform::engine::EngineClient;
-use savoryport_platform::kv::{PutAnswer, Revision};
+use savoryport_platform::kv::{PutResult, Revision};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 use super::Context;
@@ -181,13 +181,13 @@
         let key = keys::server(&self.vm.name);
         let value = serde_json::to_vec(&record).expect("a record can be serialized");
         let result = match self.cx.kv.put_if(&key, value, revision, None).await {
-            Ok(PutAnswer::Written(revision)) => {
+            Ok(PutResult::Written(revision)) => {
                 self.cx
                     .state
                     .merge_residency(&self.vm.name, Residency::from_record(&record, revision));
                 WriteResult::Written(revision)
             }
-            Ok(PutAnswer::Conflict) => {
+            Ok(PutResult::Conflict) => {
                 self.cx.metrics.write_conflicts.inc();
                 WriteResult::Conflict
             }
--- a/savoryport/src/control/replication.rs
+++ b/savoryport/src/control/replication.rs
@@ -14,7 +14,7 @@
 use savoryport_core::ledger::ServerRecord;
 use savoryport_core::replica::{Mark, Residency, Update};
 use savoryport_core::replication_tree;
-use savoryport_platform::kv::{Entry, Event, KvError, PutAnswer, Revision};
+use savoryport_platform::kv::{Entry, Event, KvError, PutResult, Revision};
 use savoryport_platform::vms;
 
 use super::Context;
@@ -173,7 +173,7 @@
     }
 }
 
-async fn write_demand(cx: &Context) -> Result<PutAnswer, KvError> {
+async fn write_demand(cx: &Context) -> Result<PutResult, KvError> {
     let key = format!("{}{}", keys::DEMAND, cx.settings.failure_domain);
     let demand = cx.state.total_demand(cx.clock.now());
     let value = serde_json::to_vec(&demand).expect("demand can be serialized");
--- a/savoryport/src/entry/claim.rs
+++ b/savoryport/src/entry/claim.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use savoryport_platform::kv::{EtcdClient, KeyValue, LeaseId, PutAnswer};
+use savoryport_platform::kv::{EtcdClient, KeyValue, LeaseId, PutResult};
 
 use crate::keys;
 
@@ -62,8 +62,8 @@
         let key = format!("{}{id}", keys::CLAIMS);
         let Some(lease) = self.claim_lease(kv) else { return ClaimResult::Unavailable };
         match kv.put_if(&key, owner.as_bytes(), 0, Some(lease)) {
-            Ok(PutAnswer::Written(_)) => ClaimResult::Acquired,
-            Ok(PutAnswer::Conflict) => self.resolve_conflict(kv, &key, id, owner),
+            Ok(PutResult::Written(_)) => ClaimResult::Acquired,
+            Ok(PutResult::Conflict) => self.resolve_conflict(kv, &key, id, owner),
             Err(_) => {
                 // The write may have taken effect although this process does not start the request.
                 self.abandon(id);
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -19,7 +19,7 @@
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{MemoryUse, Replica, Residency, Update};
 use savoryport_core::table::{Row, RowKind, Table};
-use savoryport_platform::kv::{EtcdClient, KeyValue, PutAnswer};
+use savoryport_platform::kv::{EtcdClient, KeyValue, PutResult};
 use savoryport_standin::engine::EngineConfig;
 use savoryport_standin::fleet::LocalFleet;
 use savoryport_standin::proxy::Proxy;
@@ -377,8 +377,8 @@
     fn write_table(&self, table: &Table) -> Result<(), Failure> {
         let revision = self.kv.get(keys::TABLE)?.map_or(0, |entry| entry.revision);
         match self.kv.put_if(keys::TABLE, &table.encode()?, revision, None)? {
-            PutAnswer::Written(_) => Ok(()),
-            PutAnswer::Conflict => Err("nobody else writes here".into()),
+            PutResult::Written(_) => Ok(()),
+            PutResult::Conflict => Err("nobody else writes here".into()),
         }
     }
 
--- a/savoryport_platform/src/kv.rs
+++ b/savoryport_platform/src/kv.rs
@@ -50,7 +50,7 @@
 
 /// What came of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PutAnswer {
+pub enum PutResult {
     /// The value stands, at this revision.
     Written(Revision),
     /// The key had another revision; nothing was written.
@@ -111,7 +111,7 @@
         value: &[u8],
         expected: Revision,
         lease: Option<LeaseId>,
-    ) -> Result<PutAnswer, Self::Error>;
+    ) -> Result<PutResult, Self::Error>;
 
     /// Asks for a new lease.
     ///
@@ -278,7 +278,7 @@
         value: &[u8],
         expected: Revision,
         lease: Option<LeaseId>,
-    ) -> Result<PutAnswer, KvError> {
+    ) -> Result<PutResult, KvError> {
         let key = encode(key);
         let mut put = json!({ "key": key, "value": STANDARD.encode(value) });
         if let Some(lease) = lease {
@@ -293,9 +293,9 @@
         let body = json!({ "compare": [compare], "success": [{ "request_put": put }] });
         let answer: TxnAnswer = self.call("/v3/kv/txn", &body)?;
         if answer.succeeded {
-            Ok(PutAnswer::Written(answer.header.revision))
+            Ok(PutResult::Written(answer.header.revision))
         } else {
-            Ok(PutAnswer::Conflict)
+            Ok(PutResult::Conflict)
         }
     }
 
--- a/savoryport_platform/tests/kv_contract.rs
+++ b/savoryport_platform/tests/kv_contract.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use assert_matches::assert_matches;
-use savoryport_platform::kv::{EtcdClient, Event, KeyValue, KvError, PutAnswer};
+use savoryport_platform::kv::{EtcdClient, Event, KeyValue, KvError, PutResult};
 use savoryport_standin::kv::KvStandin;
 use savoryport_standin::proxy::Proxy;
 
@@ -17,20 +17,20 @@
     watches_show_each_change_once(kv);
 }
 
-fn written(answer: PutAnswer) -> u64 {
+fn written(answer: PutResult) -> u64 {
     match answer {
-        PutAnswer::Written(revision) => revision,
-        PutAnswer::Conflict => panic!("nobody else writes here"),
+        PutResult::Written(revision) => revision,
+        PutResult::Conflict => panic!("nobody else writes here"),
     }
 }
 
 fn writes_are_conditional(kv: &dyn KeyValue<Error = KvError>) {
     assert_eq!(kv.get("put/a").unwrap(), None);
     let first = written(kv.put_if("put/a", b"1", 0, None).unwrap());
-    assert_eq!(kv.put_if("put/a", b"2", 0, None).unwrap(), PutAnswer::Conflict);
+    assert_eq!(kv.put_if("put/a", b"2", 0, None).unwrap(), PutResult::Conflict);
     let second = written(kv.put_if("put/a", b"2", first, None).unwrap());
     assert!(second > first);
-    assert_eq!(kv.put_if("put/a", b"3", first, None).unwrap(), PutAnswer::Conflict);
+    assert_eq!(kv.put_if("put/a", b"3", first, None).unwrap(), PutResult::Conflict);
     let entry = kv.get("put/a").unwrap().unwrap();
     assert_eq!((entry.value.as_slice(), entry.revision), (b"2".as_slice(), second));
 }
@@ -53,7 +53,7 @@
     assert_eq!(kv.get("lease/a").unwrap(), None);
     assert!(!kv.keep_alive(lease).unwrap());
     // A key cannot be written under a lease that has ended.
-    assert_eq!(kv.put_if("lease/a", b"x", 0, Some(lease)).unwrap(), PutAnswer::Conflict);
+    assert_eq!(kv.put_if("lease/a", b"x", 0, Some(lease)).unwrap(), PutResult::Conflict);
     let short = kv.grant_lease(Duration::from_secs(1)).unwrap();
     let revision = written(kv.put_if("lease/b", b"x", 0, Some(short)).unwrap());
     let events = kv.watch("lease/b", revision, Duration::from_secs(3)).unwrap();
