--- a/savoryport/src/cli/drain.rs
+++ b/savoryport/src/cli/drain.rs
@@ -1,6 +1,6 @@
 //! Drains: a VM gets no new work until the drain is taken back.
 
-use savoryport_platform::kv::{KeyValue, KvError, PutResult};
+use savoryport_platform::kv::{KeyValueService, KvError, PutResult};
 
 use super::CliError;
 use super::arguments::Options;
--- a/savoryport/src/cli/explain.rs
+++ b/savoryport/src/cli/explain.rs
@@ -5,7 +5,7 @@
 use savoryport_core::ledger::ServerRecord;
 use savoryport_core::placement::Plan;
 use savoryport_core::table::{Row, Table};
-use savoryport_platform::kv::{Entry, KeyValue};
+use savoryport_platform::kv::{Entry, KeyValueService};
 
 use super::CliError;
 use super::arguments::Options;
--- a/savoryport/src/cli/status.rs
+++ b/savoryport/src/cli/status.rs
@@ -9,7 +9,7 @@
 use savoryport_core::placement::Plan;
 use savoryport_core::rank::Rank;
 use savoryport_core::table::Table;
-use savoryport_platform::kv::{Entry, KeyValue};
+use savoryport_platform::kv::{Entry, KeyValueService};
 use savoryport_platform::vms;
 
 use super::CliError;
--- a/savoryport/src/cli/table.rs
+++ b/savoryport/src/cli/table.rs
@@ -12,7 +12,7 @@
 use savoryport_core::table::{
     Row, RowChange, Table, TableDelta, TableError, check_memory_fit, merge_rows, parse_csv, to_csv,
 };
-use savoryport_platform::kv::{EtcdClient, KeyValue, KvError, PutResult, Revision};
+use savoryport_platform::kv::{EtcdClient, KeyValueService, KvError, PutResult, Revision};
 use savoryport_platform::vms;
 
 use super::CliError;
--- a/savoryport/src/control/kv_client.rs
+++ b/savoryport/src/control/kv_client.rs
@@ -6,7 +6,7 @@
 use prometheus_client::metrics::counter::Counter;
 use savoryport_core::replica::Mark;
 use savoryport_platform::kv::{
-    Entry, EtcdClient, Event, KeyValue, KvError, LeaseId, PutResult, Revision,
+    Entry, EtcdClient, Event, KeyValueService, KvError, LeaseId, PutResult, Revision,
 };
 
 use super::shared_state::SharedState;
--- a/savoryport/src/entry/claim.rs
+++ b/savoryport/src/entry/claim.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use savoryport_platform::kv::{EtcdClient, KeyValue, LeaseId, PutResult};
+use savoryport_platform::kv::{EtcdClient, KeyValueService, LeaseId, PutResult};
 
 use crate::keys;
 
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -19,7 +19,7 @@
 use savoryport_core::rank::Rank;
 use savoryport_core::replica::{MemoryUse, Replica, Residency, Update};
 use savoryport_core::table::{Row, RowKind, Table};
-use savoryport_platform::kv::{EtcdClient, KeyValue, PutResult};
+use savoryport_platform::kv::{EtcdClient, KeyValueService, PutResult};
 use savoryport_standin::engine::EngineConfig;
 use savoryport_standin::fleet::LocalFleet;
 use savoryport_standin::proxy::Proxy;
--- a/savoryport_bench/src/path.rs
+++ b/savoryport_bench/src/path.rs
@@ -8,7 +8,7 @@
 use savoryport::settings::Settings;
 use savoryport_core::fleet::{Vm, VmList, VmRole};
 use savoryport_core::table::Table;
-use savoryport_platform::kv::{EtcdClient, KeyValue};
+use savoryport_platform::kv::{EtcdClient, KeyValueService};
 use savoryport_standin::engine::EngineConfig;
 use savoryport_standin::fleet::LocalFleet;
 use serde_json::json;
--- a/savoryport_platform/src/kv.rs
+++ b/savoryport_platform/src/kv.rs
@@ -82,7 +82,7 @@
 /// What the product needs of a key-value service.
 ///
 /// The contract is in `docs/INTERFACES.md`; the contract tests run against any implementation.
-pub trait KeyValue: Send + Sync {
+pub trait KeyValueService: Send + Sync {
     /// Why a call gave no result.
     type Error;
 
@@ -257,7 +257,7 @@
     }
 }
 
-impl KeyValue for EtcdClient {
+impl KeyValueService for EtcdClient {
     type Error = KvError;
 
     fn get(&self, key: &str) -> Result<Option<Entry>, KvError> {
--- a/savoryport_platform/tests/kv_contract.rs
+++ b/savoryport_platform/tests/kv_contract.rs
@@ -3,14 +3,14 @@
 use std::time::{Duration, Instant};
 
 use assert_matches::assert_matches;
-use savoryport_platform::kv::{EtcdClient, Event, KeyValue, KvError, PutResult};
+use savoryport_platform::kv::{EtcdClient, Event, KeyValueService, KvError, PutResult};
 use savoryport_standin::kv::KvStandin;
 use savoryport_standin::proxy::Proxy;
 
 const TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What every implementation must keep; each part uses keys of its own.
-fn check_contract(kv: &dyn KeyValue<Error = KvError>) {
+fn check_contract(kv: &dyn KeyValueService<Error = KvError>) {
     writes_are_conditional(kv);
     listings_hold_a_prefix(kv);
     leases_take_their_keys_with_them(kv);
@@ -24,7 +24,7 @@
     }
 }
 
-fn writes_are_conditional(kv: &dyn KeyValue<Error = KvError>) {
+fn writes_are_conditional(kv: &dyn KeyValueService<Error = KvError>) {
     assert_eq!(kv.get("put/a").unwrap(), None);
     let first = written(kv.put_if("put/a", b"1", 0, None).unwrap());
     assert_eq!(kv.put_if("put/a", b"2", 0, None).unwrap(), PutResult::Conflict);
@@ -35,7 +35,7 @@
     assert_eq!((entry.value.as_slice(), entry.revision), (b"2".as_slice(), second));
 }
 
-fn listings_hold_a_prefix(kv: &dyn KeyValue<Error = KvError>) {
+fn listings_hold_a_prefix(kv: &dyn KeyValueService<Error = KvError>) {
     for key in ["list/a", "list/b", "lisu"] {
         kv.put_if(key, key.as_bytes(), 0, None).unwrap();
     }
@@ -45,7 +45,7 @@
     assert!(entries.iter().all(|entry| entry.revision <= revision));
 }
 
-fn leases_take_their_keys_with_them(kv: &dyn KeyValue<Error = KvError>) {
+fn leases_take_their_keys_with_them(kv: &dyn KeyValueService<Error = KvError>) {
     let lease = kv.grant_lease(Duration::from_secs(1)).unwrap();
     written(kv.put_if("lease/a", b"x", 0, Some(lease)).unwrap());
     assert!(kv.keep_alive(lease).unwrap());
@@ -60,7 +60,7 @@
     assert_matches!(&events[..], [Event::Delete { key, .. }] if key == "lease/b");
 }
 
-fn watches_show_each_change_once(kv: &dyn KeyValue<Error = KvError>) {
+fn watches_show_each_change_once(kv: &dyn KeyValueService<Error = KvError>) {
     let first = written(kv.put_if("watch/a", b"1", 0, None).unwrap());
     written(kv.put_if("watch/a", b"2", first, None).unwrap());
     let events = kv.watch("watch/", first, Duration::from_secs(2)).unwrap();
