--- a/savoryport_platform/src/wire.rs
+++ b/savoryport_platform/src/wire.rs
@@ -46,7 +46,7 @@
 
 /// One event of a stream, or the whole answer without streaming.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CompletionAnswer {
+pub struct CompletionResponse {
     /// The engine's name for the request.
     pub id: String,
     /// The model that answered.
--- a/savoryport_standin/src/engine.rs
+++ b/savoryport_standin/src/engine.rs
@@ -10,7 +10,7 @@
 
 use savoryport_core::Name;
 use savoryport_core::ledger::{EngineItem, EngineState, ItemState, Order, OrderKind};
-use savoryport_platform::wire::{Choice, CompletionAnswer, CompletionRequest, LoadReport};
+use savoryport_platform::wire::{Choice, CompletionRequest, CompletionResponse, LoadReport};
 use serde_json::json;
 use tiny_http::Request;
 
@@ -356,10 +356,10 @@
     format!(" {tag}/{at}")
 }
 
-fn answer(completion: &CompletionRequest, text: String, is_last: bool) -> CompletionAnswer {
+fn answer(completion: &CompletionRequest, text: String, is_last: bool) -> CompletionResponse {
     let finish_reason = is_last.then(|| "length".to_owned());
     let choices = vec![Choice { index: 0, text, finish_reason }];
-    CompletionAnswer { id: "standin".to_owned(), model: completion.model.clone(), choices }
+    CompletionResponse { id: "standin".to_owned(), model: completion.model.clone(), choices }
 }
 
 fn stream_tokens(shared: &Shared, req: Request, completion: &CompletionRequest) -> bool {
