--- a/savoryport_platform/src/wire.rs
+++ b/savoryport_platform/src/wire.rs
@@ -83,7 +83,7 @@
 pub type OrderRequest = Order;
 
 /// The answer to an order, and to `GET /admin/state`.
-pub type StateAnswer = EngineState;
+pub type StateResponse = EngineState;
 
 impl CompletionRequest {
     /// Returns the text that the engine completes.
