--- a/savoryport/src/control/reconcile.rs
+++ b/savoryport/src/control/reconcile.rs
@@ -207,7 +207,7 @@
         self.cx.metrics.orders.get_or_create(&CauseLabels { cause }).inc();
         self.reconciler.on_order_sent(&order);
         let (engine, sent_order) = (self.engine.clone(), order.clone());
-        match tokio::task::spawn_blocking(move || engine.order(&sent_order)).await {
+        match tokio::task::spawn_blocking(move || engine.send_order(&sent_order)).await {
             Ok(Ok(response)) => {
                 self.reconciler.on_order_response(&order, response);
                 tokio::time::sleep(ORDER_DELAY).await;
--- a/savoryport_platform/src/engine.rs
+++ b/savoryport_platform/src/engine.rs
@@ -51,7 +51,7 @@
     /// # Errors
     ///
     /// Returns an error where the order's fate is unknown.
-    pub fn order(&self, order: &Order) -> Result<OrderResponse, EngineError> {
+    pub fn send_order(&self, order: &Order) -> Result<OrderResponse, EngineError> {
         let url = format!("http://{}/admin/orders", self.address);
         let answer = self.agent.post(url).send_json(order).map_err(|err| self.unanswered(&err))?;
         let was_refused = answer.status().as_u16() == CONFLICT;
--- a/savoryport_platform/tests/engine_contract.rs
+++ b/savoryport_platform/tests/engine_contract.rs
@@ -51,10 +51,10 @@
     let client = EngineClient::new(engine.address(), TIMEOUT);
     let load = order(1, OrderKind::Load, "a");
     for _ in 0..3 {
-        assert_eq!(taken(client.order(&load).unwrap()).items.len(), 1);
+        assert_eq!(taken(client.send_order(&load).unwrap()).items.len(), 1);
     }
     wait_until_loaded(&client, "a");
-    let state = taken(client.order(&order(2, OrderKind::Unload, "a")).unwrap());
+    let state = taken(client.send_order(&order(2, OrderKind::Unload, "a")).unwrap());
     assert_eq!((state.items.len(), state.incarnation, state.highest_fence), (0, 7, 2));
 }
 
@@ -63,8 +63,8 @@
     for checks_fencing in [true, false] {
         let engine = engine(checks_fencing);
         let client = EngineClient::new(engine.address(), TIMEOUT);
-        taken(client.order(&order(5, OrderKind::Load, "a")).unwrap());
-        let late = client.order(&order(4, OrderKind::Load, "b")).unwrap();
+        taken(client.send_order(&order(5, OrderKind::Load, "a")).unwrap());
+        let late = client.send_order(&order(4, OrderKind::Load, "b")).unwrap();
         assert_eq!(matches!(late, OrderResponse::Refused(_)), checks_fencing);
         // The engine's own count shows what an unchecked order may do.
         assert_eq!(engine.counts().overcommitted_mib, if checks_fencing { 0 } else { 20 });
@@ -76,7 +76,7 @@
     let engine = engine(true);
     let client = EngineClient::new(engine.address(), TIMEOUT);
     engine.set_faults(|faults| faults.lose_order_answers = 1);
-    let lost = client.order(&order(1, OrderKind::Load, "a"));
+    let lost = client.send_order(&order(1, OrderKind::Load, "a"));
     assert_matches!(lost, Err(EngineError::Unanswered { .. }));
     wait_until_loaded(&client, "a");
 }
@@ -85,7 +85,7 @@
 fn a_restarted_engine_is_another_with_nothing_in_memory() {
     let engine = engine(true);
     let client = EngineClient::new(engine.address(), TIMEOUT);
-    taken(client.order(&order(9, OrderKind::Load, "a")).unwrap());
+    taken(client.send_order(&order(9, OrderKind::Load, "a")).unwrap());
     engine.restart();
     let state = client.state().unwrap();
     assert_eq!((state.incarnation, state.highest_fence, state.items.len()), (8, 0, 0));
