--- a/savoryport_platform/src/engine.rs
+++ b/savoryport_platform/src/engine.rs
@@ -73,7 +73,7 @@
     /// # Errors
     ///
     /// Returns an error where no answer came.
-    pub fn load(&self) -> Result<LoadReport, EngineError> {
+    pub fn load_report(&self) -> Result<LoadReport, EngineError> {
         self.get("/admin/load")
     }
 
