--- a/savoryport/src/node/directory.rs
+++ b/savoryport/src/node/directory.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use savoryport_adapter::callers::{
-    DIRECTORY_PATH, DirectoryQuestion, READINESS_PATH, directory_answer, directory_question,
+    DIRECTORY_PATH, DirectoryQuery, READINESS_PATH, decode_directory_query, directory_answer,
 };
 use tokio::net::TcpListener;
 
@@ -67,7 +67,7 @@
         READINESS_PATH if is_ready => empty_response(StatusCode::OK),
         READINESS_PATH => empty_response(StatusCode::SERVICE_UNAVAILABLE),
         DIRECTORY_PATH => {
-            let question = directory_question(req.uri().query().unwrap_or_default());
+            let question = decode_directory_query(req.uri().query().unwrap_or_default());
             let view = cx.fleet.view();
             let own_address = (!cx.stopping.is_cancelled()).then_some(cx.settings.callers_listen);
             let addresses = nearest_addresses(&view, &question, own_address, cx);
@@ -96,7 +96,7 @@
 /// out.
 fn nearest_addresses(
     view: &FleetView,
-    question: &DirectoryQuestion,
+    question: &DirectoryQuery,
     own_address: Option<SocketAddr>,
     cx: &NodeContext,
 ) -> Vec<SocketAddr> {
