--- a/savoryport/src/node/directory.rs
+++ b/savoryport/src/node/directory.rs
@@ -14,7 +14,8 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use savoryport_adapter::callers::{
-    DIRECTORY_PATH, DirectoryQuery, READINESS_PATH, decode_directory_query, directory_answer,
+    DIRECTORY_PATH, DirectoryQuery, READINESS_PATH, decode_directory_query,
+    encode_directory_response,
 };
 use tokio::net::TcpListener;
 
@@ -75,7 +76,7 @@
                 return empty_response(StatusCode::SERVICE_UNAVAILABLE);
             }
             let max_ttl = Duration::from_secs_f64(cx.settings.address_ttl_max_s);
-            let body = directory_answer(&addresses, ADDRESS_TTL.min(max_ttl));
+            let body = encode_directory_response(&addresses, ADDRESS_TTL.min(max_ttl));
             let mut response = Response::new(Full::new(Bytes::from(body)));
             let json = HeaderValue::from_static("application/json");
             response.headers_mut().insert(CONTENT_TYPE, json);
