--- a/savoryport/src/node/receive.rs
+++ b/savoryport/src/node/receive.rs
@@ -8,7 +8,7 @@
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::header::HOST;
-use savoryport_adapter::callers::{request_head, strip_headers};
+use savoryport_adapter::callers::{decode_request_head, strip_headers};
 use savoryport_core::node::deployment::{Deployment, Route};
 
 use super::context::NodeContext;
@@ -31,7 +31,7 @@
         let (parts, body) = req.into_parts();
         let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
         let route = find_route(&deployment, host, parts.uri.path())?.clone();
-        let head = request_head(&parts.headers).map_err(|err| {
+        let head = decode_request_head(&parts.headers).map_err(|err| {
             log::debug!(err:% = err; "request headers refused");
             Refusal::new(RefusalCause::BadHead)
         })?;
