--- a/savoryport/src/node/store_reader.rs
+++ b/savoryport/src/node/store_reader.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use savoryport_adapter::config::{CONFIG_KEY, deployment};
-use savoryport_adapter::registry::{backend_server, server_id};
+use savoryport_adapter::registry::{decode_server_entry, server_id};
 use savoryport_adapter::store::{Change, Item, Listing, Revision, StoreError};
 use savoryport_core::Name;
 use tokio::sync::watch;
@@ -156,7 +156,7 @@
     cx.fleet.update(|state| {
         let servers = listing.items.iter().filter_map(|item| {
             let id = server_id(&item.key)?;
-            backend_server(id, &item.value).ok()
+            decode_server_entry(id, &item.value).ok()
         });
         state.registry.replace(servers.collect(), recovering, cx.now());
         let domains: Vec<Name> = state.leaders().keys().cloned().collect();
@@ -175,7 +175,7 @@
 
 fn apply_item(state: &mut FleetState, item: &Item) {
     if let Some(id) = server_id(&item.key) {
-        match backend_server(id, &item.value) {
+        match decode_server_entry(id, &item.value) {
             Ok(server) => apply_server(state, server),
             Err(err) => {
                 log::warn!(server = id, err:% = err; "unreadable server entry");
