--- a/savoryport/src/node/store_reader.rs
+++ b/savoryport/src/node/store_reader.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use savoryport_adapter::config::{CONFIG_KEY, deployment};
+use savoryport_adapter::config::{CONFIG_KEY, decode_deployment};
 use savoryport_adapter::registry::{decode_server_entry, server_id};
 use savoryport_adapter::store::{Change, Item, Listing, Revision, StoreError};
 use savoryport_core::Name;
@@ -215,7 +215,7 @@
 
 /// Decodes a configuration and puts it in force if it is newer than the present one.
 pub fn accept_config(state: &mut FleetState, raw: &[u8], source: &'static str) {
-    match deployment(raw) {
+    match decode_deployment(raw) {
         Ok(decoded) => {
             let (version, routes) = (decoded.version, decoded.route_count());
             if version <= state.version() {
