--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -9,7 +9,7 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use savoryport_adapter::servers::{
-    AnswerKind, Dispatch, answer_kind, promises_not_run, set_dispatch,
+    Dispatch, ResponseKind, classify_response, promises_not_run, set_dispatch,
 };
 use savoryport_core::Name;
 use savoryport_core::node::deployment::{Deployment, RequestKind, Route};
@@ -105,7 +105,7 @@
 
 /// The result of sending the request to a server.
 enum SendResult {
-    Response(Box<OpenedResponse>, AnswerKind),
+    Response(Box<OpenedResponse>, ResponseKind),
     Failed,
 }
 
@@ -232,14 +232,16 @@
             SendResult::Failed => return Attempt::TryNext,
         };
         match kind {
-            AnswerKind::Success if self.route.kind.is_stream() => Attempt::Stream(opened, selected),
-            AnswerKind::Success => self.on_complete_response(*opened, &selected).await,
-            AnswerKind::NotRun => {
+            ResponseKind::Success if self.route.kind.is_stream() => {
+                Attempt::Stream(opened, selected)
+            }
+            ResponseKind::Success => self.on_complete_response(*opened, &selected).await,
+            ResponseKind::NotRun => {
                 self.on_not_run(*opened, &selected).await;
                 Attempt::TryNext
             }
-            AnswerKind::Failure => self.on_server_failure(*opened, &selected).await,
-            AnswerKind::Foreign => {
+            ResponseKind::Failure => self.on_server_failure(*opened, &selected).await,
+            ResponseKind::Foreign => {
                 self.may_have_run = true;
                 self.record_outcome(&selected.server.id, ServerOutcome::Unreachable);
                 Attempt::TryNext
@@ -285,7 +287,7 @@
             Some(Ok((_, FirstFrame::Broken))) => self.on_broken_connection(&server.id),
             Some(Ok((response, first_frame))) => {
                 let (parts, body) = response.into_parts();
-                let kind = answer_kind(parts.status, &parts.headers, &self.head.id);
+                let kind = classify_response(parts.status, &parts.headers, &self.head.id);
                 let (status, headers) = (parts.status, parts.headers);
                 self.cx.routing.lock().health.record_activity(&server.id, self.cx.now());
                 let first_chunk = match first_frame {
@@ -324,12 +326,12 @@
         after: Option<u64>,
     ) -> Option<OpenedResponse> {
         match self.send_to(selected, after).await {
-            SendResult::Response(opened, AnswerKind::Success) => Some(*opened),
-            SendResult::Response(opened, AnswerKind::NotRun) => {
+            SendResult::Response(opened, ResponseKind::Success) => Some(*opened),
+            SendResult::Response(opened, ResponseKind::NotRun) => {
                 self.on_not_run(*opened, selected).await;
                 None
             }
-            SendResult::Response(_, AnswerKind::Failure | AnswerKind::Foreign) => {
+            SendResult::Response(_, ResponseKind::Failure | ResponseKind::Foreign) => {
                 self.record_outcome(&selected.server.id, ServerOutcome::Failed);
                 None
             }
