--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -241,7 +241,7 @@
                 Attempt::TryNext
             }
             ResponseKind::Failure => self.on_server_failure(*opened, &selected).await,
-            ResponseKind::Foreign => {
+            ResponseKind::Unverified => {
                 self.may_have_run = true;
                 self.record_outcome(&selected.server.id, ServerOutcome::Unreachable);
                 Attempt::TryNext
@@ -331,7 +331,7 @@
                 self.on_not_run(*opened, selected).await;
                 None
             }
-            SendResult::Response(_, ResponseKind::Failure | ResponseKind::Foreign) => {
+            SendResult::Response(_, ResponseKind::Failure | ResponseKind::Unverified) => {
                 self.record_outcome(&selected.server.id, ServerOutcome::Failed);
                 None
             }
