--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -9,7 +9,7 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use savoryport_adapter::servers::{
-    Dispatch, ResponseKind, classify_response, promises_not_run, set_dispatch,
+    DispatchHeaders, ResponseKind, classify_response, promises_not_run, set_dispatch_headers,
 };
 use savoryport_core::Name;
 use savoryport_core::node::deployment::{Deployment, RequestKind, Route};
@@ -407,14 +407,14 @@
         } else {
             headers.insert(CONTENT_LENGTH, self.body.len().into());
         }
-        let dispatch = Dispatch {
+        let dispatch = DispatchHeaders {
             server: &selected.server.id,
             left: self.remaining_time(),
             priority: selected.priority,
             resume_after,
             copy_from: selected.copy_from,
         };
-        set_dispatch(headers, dispatch);
+        set_dispatch_headers(headers, dispatch);
         req
     }
 
