--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -409,7 +409,7 @@
         }
         let dispatch = DispatchHeaders {
             server: &selected.server.id,
-            left: self.remaining_time(),
+            time_left: self.remaining_time(),
             priority: selected.priority,
             resume_after,
             copy_from: selected.copy_from,
