--- a/savoryport/src/node/server_response.rs
+++ b/savoryport/src/node/server_response.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::StatusCode;
 use hyper::body::Incoming;
-use savoryport_adapter::servers::{keep_alive, promises_not_run, strip_connection_headers};
+use savoryport_adapter::servers::{keep_alive_timeout, promises_not_run, strip_connection_headers};
 use savoryport_core::Name;
 use savoryport_core::node::health::ServerOutcome;
 
@@ -37,7 +37,9 @@
                 let elapsed = self.cx.now() - in_flight.sent_at();
                 let server = &selected.server.id;
                 self.cx.routing.lock().speeds.record_service_time(server, &self.service, elapsed);
-                self.cx.request_pool.release_with_keep_alive(connection, keep_alive(&headers));
+                self.cx
+                    .request_pool
+                    .release_with_keep_alive(connection, keep_alive_timeout(&headers));
                 strip_connection_headers(&mut headers);
                 self.log_end("answered", status.as_u16(), None);
                 Attempt::Respond(forward_response(status, headers, body))
@@ -62,7 +64,7 @@
         self.cx.metrics.not_run.inc();
         self.learn_from_refusal(status, selected);
         if collect_body(body, DISCARD_TIMEOUT).await.is_some() {
-            self.cx.request_pool.release_with_keep_alive(connection, keep_alive(&headers));
+            self.cx.request_pool.release_with_keep_alive(connection, keep_alive_timeout(&headers));
         }
     }
 
@@ -102,7 +104,7 @@
         self.may_have_run = true;
         self.record_outcome(&selected.server.id, ServerOutcome::Failed);
         let Some(body) = body else { return Attempt::TryNext };
-        self.cx.request_pool.release_with_keep_alive(connection, keep_alive(&headers));
+        self.cx.request_pool.release_with_keep_alive(connection, keep_alive_timeout(&headers));
         strip_connection_headers(&mut headers);
         // The caller would take this status as a promise that the request did not run, which the server
         // did not state.
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -7,7 +7,7 @@
 use hyper::Response;
 use hyper::body::Frame;
 use hyper::header::CONTENT_LENGTH;
-use savoryport_adapter::servers::{keep_alive, strip_connection_headers};
+use savoryport_adapter::servers::{keep_alive_timeout, strip_connection_headers};
 use savoryport_core::node::deployment::RequestKind;
 use savoryport_core::node::health::ServerOutcome;
 use tokio::sync::mpsc;
@@ -94,7 +94,7 @@
                     self.request
                         .cx
                         .request_pool
-                        .release_with_keep_alive(connection, keep_alive(&headers));
+                        .release_with_keep_alive(connection, keep_alive_timeout(&headers));
                     return self.request.log_end("streamed", status, None);
                 }
                 StreamEnd::CallerLeft => return self.request.log_end("caller-left", status, None),
