--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -303,13 +303,12 @@
             contents.check(order, &class, self.cx.now())?;
             contents.expected_orders().ok_or(OrderError::Unknown)?
         };
-        let authority = engine::Authority {
+        let fence = engine::OrderFence {
             holder: &self.cx.settings.vm,
             fencing_token: token,
             expected_orders: expected,
         };
-        let answer =
-            engine::order(&self.cx.order_pool, &server, order, authority, ORDER_TIMEOUT).await;
+        let answer = engine::order(&self.cx.order_pool, &server, order, fence, ORDER_TIMEOUT).await;
         self.contents().apply_answer(order, answer, busy_for, self.cx.now());
         self.cx.metrics.record_order(order.name(), answer);
         log::info!(
