--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -304,7 +304,7 @@
             contents.expected_orders().ok_or(OrderError::Unknown)?
         };
         let fence = engine::OrderFence {
-            holder: &self.cx.settings.vm,
+            leader: &self.cx.settings.vm,
             fencing_token: token,
             expected_orders: expected,
         };
