--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -240,7 +240,7 @@
                 return true;
             }
             let Some((server, _)) = self.target() else { return false };
-            match engine::report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await {
+            match engine::fetch_report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await {
                 Ok(report) => {
                     self.cx.metrics.engine_reports.inc();
                     self.contents().apply_report(&report, self.cx.now());
@@ -267,7 +267,7 @@
             return;
         }
         self.restart_checked_at = Some(now);
-        match engine::report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await {
+        match engine::fetch_report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await {
             Ok(report) if report.incarnation == server.incarnation => {
                 log::info!(
                     server = &*self.server, incarnation = report.incarnation;
@@ -308,7 +308,8 @@
             fencing_token: token,
             expected_orders: expected,
         };
-        let answer = engine::order(&self.cx.order_pool, &server, order, fence, ORDER_TIMEOUT).await;
+        let answer =
+            engine::send_order(&self.cx.order_pool, &server, order, fence, ORDER_TIMEOUT).await;
         self.contents().apply_answer(order, answer, busy_for, self.cx.now());
         self.cx.metrics.record_order(order.name(), answer);
         log::info!(
@@ -448,7 +449,8 @@
             self.end_move();
             return;
         };
-        let Ok(report) = engine::report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await else {
+        let Ok(report) = engine::fetch_report(&self.cx.order_pool, &server, REPORT_TIMEOUT).await
+        else {
             return;
         };
         self.cx.metrics.engine_reports.inc();
