--- a/savoryport/src/node/leadership.rs
+++ b/savoryport/src/node/leadership.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use savoryport_adapter::store::{Committed, StoreError, Transaction};
+use savoryport_adapter::store::{CommitResult, StoreError, Transaction};
 use savoryport_core::Name;
 use savoryport_core::node::leadership::Leadership;
 
@@ -112,7 +112,7 @@
         };
         cx.metrics.store_calls.inc();
         match cx.store.commit(&transaction).await {
-            Ok(Committed::At(revision)) => {
+            Ok(CommitResult::Committed(revision)) => {
                 let is_first_start = cx.settings.first_start && !self.led_before.contains(domain);
                 let handover_delay = if is_first_start {
                     Duration::ZERO
@@ -129,7 +129,7 @@
                 cx.fleet.update(|state| state.set_leader(domain, Some(leader)));
                 tokio::spawn(keep_leadership(cx.clone(), controller));
             }
-            Ok(Committed::Conflict) => {
+            Ok(CommitResult::Conflict) => {
                 self.led_before.insert(domain.clone());
                 end_lease(cx, lease).await;
             }
