--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -5,7 +5,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, RngExt};
-use savoryport_adapter::store::Store;
+use savoryport_adapter::store::StoreClient;
 use savoryport_core::clock::Clock;
 use savoryport_platform::connection::Pool;
 use tokio_util::sync::CancellationToken;
@@ -31,7 +31,7 @@
     /// A monotonic clock that advances while the VM is suspended, for leases.
     pub lease_clock: Arc<dyn Clock>,
     /// The client of the platform's metadata store.
-    pub store: Store,
+    pub store: StoreClient,
     /// Connections to backend servers for callers' requests.
     pub request_pool: Pool,
     /// Connections to model engines for load and unload orders and for reports.
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -44,7 +44,7 @@
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use savoryport_adapter::store::Store;
+use savoryport_adapter::store::StoreClient;
 use savoryport_core::clock::SystemClock;
 use savoryport_core::node::retry_budget::RetryBound;
 use savoryport_platform::connection::Pool;
@@ -158,7 +158,7 @@
     NodeContext {
         clock: Arc::new(SystemClock),
         lease_clock: Arc::new(BootClock::new()),
-        store: Store::new(settings.store.clone(), store_timeout),
+        store: StoreClient::new(settings.store.clone(), store_timeout),
         request_pool: Pool::default(),
         order_pool: Pool::default(),
         fleet: Fleet::new(member.clone()),
