--- a/savoryport/src/node/leadership.rs
+++ b/savoryport/src/node/leadership.rs
@@ -98,7 +98,7 @@
         let sent_at = cx.lease_clock.now();
         let time_to_live = cx.settings.leadership_lease_ttl();
         cx.metrics.store_calls.inc();
-        let lease = match cx.store.grant(time_to_live).await {
+        let lease = match cx.store.grant_lease(time_to_live).await {
             Ok(lease) => lease,
             Err(err) => return log::warn!(err:% = err; "cannot get a lease for the leadership"),
         };
@@ -152,7 +152,7 @@
         }
         let sent_at = cx.lease_clock.now();
         cx.metrics.store_calls.inc();
-        match cx.store.keep(controller.lease_id()).await {
+        match cx.store.renew_lease(controller.lease_id()).await {
             Ok(()) => {
                 controller.record_renewal(sent_at);
                 cx.store_health.record_answer(cx.now());
