--- a/savoryport/src/node/store_reader.rs
+++ b/savoryport/src/node/store_reader.rs
@@ -8,7 +8,7 @@
 
 use savoryport_adapter::config::{CONFIG_KEY, decode_deployment};
 use savoryport_adapter::registry::{decode_server_entry, server_id};
-use savoryport_adapter::store::{Change, Item, Listing, Revision, StoreError};
+use savoryport_adapter::store::{Change, Entry, Listing, Revision, StoreError};
 use savoryport_core::Name;
 use tokio::sync::watch;
 
@@ -137,7 +137,7 @@
     cx.fleet.update(|state| {
         for change in changes.changes {
             match change {
-                Change::Put(item) => apply_item(state, &item),
+                Change::Put(entry) => apply_entry(state, &entry),
                 Change::Removed { key } => apply_removal(state, &key, recovering, cx.now()),
             }
         }
@@ -154,38 +154,38 @@
 fn apply_listing(cx: &NodeContext, listing: Listing) -> Revision {
     let recovering = cx.store_health.is_recovering(cx.now());
     cx.fleet.update(|state| {
-        let servers = listing.items.iter().filter_map(|item| {
-            let id = server_id(&item.key)?;
-            decode_server_entry(id, &item.value).ok()
+        let servers = listing.entries.iter().filter_map(|entry| {
+            let id = server_id(&entry.key)?;
+            decode_server_entry(id, &entry.value).ok()
         });
         state.registry.replace(servers.collect(), recovering, cx.now());
         let domains: Vec<Name> = state.leaders().keys().cloned().collect();
         for domain in domains {
             let key = leader_key(&domain);
-            if !listing.items.iter().any(|item| item.key == key) {
+            if !listing.entries.iter().any(|entry| entry.key == key) {
                 state.set_leader(&domain, None);
             }
         }
-        for item in listing.items.iter().filter(|item| server_id(&item.key).is_none()) {
-            apply_item(state, item);
+        for entry in listing.entries.iter().filter(|entry| server_id(&entry.key).is_none()) {
+            apply_entry(state, entry);
         }
     });
     listing.at
 }
 
-fn apply_item(state: &mut FleetState, item: &Item) {
-    if let Some(id) = server_id(&item.key) {
-        match decode_server_entry(id, &item.value) {
+fn apply_entry(state: &mut FleetState, entry: &Entry) {
+    if let Some(id) = server_id(&entry.key) {
+        match decode_server_entry(id, &entry.value) {
             Ok(server) => apply_server(state, server),
             Err(err) => {
                 log::warn!(server = id, err:% = err; "unreadable server entry");
                 state.registry.remove(id);
             }
         }
-    } else if item.key == CONFIG_KEY {
-        accept_config(state, &item.value, "store");
-    } else if let Some(domain) = item.key.strip_prefix(LEADER_KEY_PREFIX) {
-        match serde_json::from_slice::<DomainLeader>(&item.value) {
+    } else if entry.key == CONFIG_KEY {
+        accept_config(state, &entry.value, "store");
+    } else if let Some(domain) = entry.key.strip_prefix(LEADER_KEY_PREFIX) {
+        match serde_json::from_slice::<DomainLeader>(&entry.value) {
             Ok(leader) => state.set_leader(&domain.into(), Some(leader)),
             Err(err) => log::warn!(domain = domain, err:% = err; "cannot parse the leader's entry"),
         }
