--- a/savoryport/src/node/store_reader.rs
+++ b/savoryport/src/node/store_reader.rs
@@ -142,7 +142,7 @@
             }
         }
     });
-    Ok(changes.up_to.max(after))
+    Ok(changes.revision.max(after))
 }
 
 fn record_answer(cx: &NodeContext) {
@@ -170,7 +170,7 @@
             apply_entry(state, entry);
         }
     });
-    listing.at
+    listing.revision
 }
 
 fn apply_entry(state: &mut FleetState, entry: &Entry) {
