--- a/savoryport_platform/src/connection.rs
+++ b/savoryport_platform/src/connection.rs
@@ -1,8 +1,9 @@
-//! Connections to backend servers for callers' requests.
+//! A pool of HTTP/1 connections to backend servers.
 //!
-//! A pooled HTTP client may repeat a request on its own when a connection turns out stale, and does
-//! not tell whether anything was sent. This pool keeps both in the caller's hands: it never
-//! repeats, and a connection is either open before the request is handed over or was never used.
+//! Common pooled HTTP clients resend a request on their own when a connection turns out to be
+//! stale, and don't report whether anything was sent. This pool leaves both to its user: it never
+//! resends a request, and it connects before it accepts a request, so a failure to connect means
+//! that nothing was sent.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -19,70 +20,70 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-/// The most idle connections that are kept for each server.
+/// The largest number of idle connections per server.
 const MAX_IDLE_PER_SERVER: usize = 64;
 
-/// A connection is given up this long before the server would close it.
+/// How long before the server's idle timeout the pool stops using a connection.
 const CLOSE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Sent bytes that stay unacknowledged for this long end the connection: a path that went silent is
-/// not found out otherwise.
-const USER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The value of `TCP_USER_TIMEOUT`: the connection is closed when sent data stays unacknowledged for
+/// this long. A network path that drops packets silently would not be detected otherwise.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Why a request got no answer, apart by what the server may have seen of it.
+/// Why a request got no response; the variants differ in whether the server may have received it.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// No connection came to stand; nothing was sent.
+    /// No connection was established or the request was not written; nothing was sent.
     #[error("cannot connect to {address}: {problem}")]
     NotConnected {
         /// The server's address.
         address: Name,
-        /// The operating system's words.
+        /// The cause, as the operating system or the HTTP library reports it.
         problem: String,
     },
-    /// The connection broke after the request was handed over.
-    #[error("connection to {address} broke: {problem}")]
+    /// The connection failed after sending began; the server may have received the request.
+    #[error("connection to {address} failed: {problem}")]
     Broken {
         /// The server's address.
         address: Name,
-        /// The library's words.
+        /// The cause, as the HTTP library reports it.
         problem: String,
     },
 }
 
-/// An open connection that no request is using.
+/// An open connection, for one request at a time.
 #[derive(Debug)]
 pub struct Connection {
     address: Name,
     sender: SendRequest<Full<Bytes>>,
-    /// Closes the socket when the connection is dropped, whatever is under way on it.
+    /// The task that drives the connection; dropping it closes the socket, even during a request.
     _driver: AbortOnDropHandle<()>,
 }
 
-/// A connection in the pool.
+/// An idle connection in the pool.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
-    /// When the server closes it, if it said so.
-    until: Option<Instant>,
+    /// The time after which it is no longer used, if the server announced an idle timeout.
+    expires_at: Option<Instant>,
 }
 
-/// Open connections by address.
+/// A pool of idle connections, by server address. Clones share the connections.
 #[derive(Debug, Clone, Default)]
 pub struct Pool {
-    idle: Arc<Mutex<HashMap<Name, Vec<Idle>>>>,
+    idle: Arc<Mutex<HashMap<Name, Vec<IdleConnection>>>>,
 }
 
 impl Pool {
-    /// Returns a connection, an idle one if `may_reuse`.
+    /// Returns an idle connection if `may_reuse` is set and there is one, and otherwise a new one.
     ///
-    /// A request that may not repeat takes a fresh one: on a connection that the other end has
-    /// closed meanwhile its outcome would be unknown without need.
+    /// A request that must not run twice should use a new connection: the server may close an idle
+    /// one at any time, and the outcome of a request sent on it would be needlessly unknown.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::NotConnected`] where none came to stand in time.
+    /// Returns [`SendError::NotConnected`] if no connection is established within `timeout`.
     pub async fn connect(
         &self,
         address: &Name,
@@ -93,11 +94,12 @@
         self.connect_with_max_idle(address, max_idle, timeout).await
     }
 
-    /// Returns a connection, one that was idle for no longer than `max_idle` if there is one.
+    /// Returns a connection that was idle for less than `max_idle` if there is one, and otherwise a
+    /// new one.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::NotConnected`] where none came to stand in time.
+    /// Returns [`SendError::NotConnected`] if no connection is established within `timeout`.
     pub async fn connect_with_max_idle(
         &self,
         address: &Name,
@@ -117,33 +119,34 @@
         }
     }
 
-    /// Takes back a connection whose answer was read to its end.
+    /// Returns a connection to the pool; its last response must have been read to the end.
     pub fn release(&self, connection: Connection) {
         self.release_with_keep_alive(connection, None);
     }
 
-    /// Takes back a connection that the server closes after `keep_alive` without a request.
+    /// Returns a connection to the pool; the server closes it when it is idle for `keep_alive`.
     pub fn release_with_keep_alive(&self, connection: Connection, keep_alive: Option<Duration>) {
-        let mut idle = self.idle.lock().expect("no holder panics");
+        let mut idle = self.idle.lock().expect("no thread panics while holding the lock");
         let connections = idle.entry(connection.address.clone()).or_default();
         if !connection.sender.is_closed() && connections.len() < MAX_IDLE_PER_SERVER {
             let since = Instant::now();
-            let until = keep_alive.map(|time| since + time.saturating_sub(CLOSE_MARGIN));
-            connections.push(Idle { connection, since, until });
+            let expires_at = keep_alive.map(|time| since + time.saturating_sub(CLOSE_MARGIN));
+            connections.push(IdleConnection { connection, since, expires_at });
         }
     }
 
     /// Closes the idle connections to an address.
     pub fn close_idle(&self, address: &str) {
-        self.idle.lock().expect("no holder panics").remove(address);
+        self.idle.lock().expect("no thread panics while holding the lock").remove(address);
     }
 
     fn take_idle(&self, address: &Name, max_idle: Duration) -> Option<Connection> {
-        let mut idle = self.idle.lock().expect("no holder panics");
+        let mut idle = self.idle.lock().expect("no thread panics while holding the lock");
         let connections = idle.get_mut(address)?;
         let now = Instant::now();
         connections.retain(|idle| {
-            !idle.connection.sender.is_closed() && idle.until.is_none_or(|until| now < until)
+            !idle.connection.sender.is_closed()
+                && idle.expires_at.is_none_or(|expires_at| now < expires_at)
         });
         let position = connections.iter().rposition(|idle| {
             idle.connection.sender.is_ready() && now.duration_since(idle.since) < max_idle
@@ -153,21 +156,22 @@
 }
 
 impl Connection {
-    /// Hands a request over and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
-    /// Dropping the future or the answer's body closes the connection, which cancels the request
-    /// and keeps a late answer from reaching anybody.
+    /// Dropping the future or the response body closes the connection, which cancels the request
+    /// and discards a late response.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::Broken`]: the server may have seen the request.
+    /// Returns [`SendError::Broken`] if the server may have received the request, and
+    /// [`SendError::NotConnected`] if nothing of it was written.
     pub async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, SendError> {
         self.sender.try_send_request(req).await.map_err(|mut err| {
             let (address, problem) = (self.address.clone(), err.error().to_string());
-            // The library hands the request back where nothing of it was written.
+            // hyper returns the request if nothing of it was written.
             if err.take_message().is_some() {
                 SendError::NotConnected { address, problem }
             } else {
@@ -180,12 +184,12 @@
 async fn open(address: &Name) -> Result<Connection, String> {
     let stream = TcpStream::connect(&**address).await.map_err(|err| err.to_string())?;
     stream.set_nodelay(true).map_err(|err| err.to_string())?;
-    let unacknowledged_ms = USER_TIMEOUT.as_millis() as u32;
+    let unacknowledged_ms = TCP_USER_TIMEOUT.as_millis() as u32;
     rustix::net::sockopt::set_tcp_user_timeout(&stream, unacknowledged_ms)
         .map_err(|err| err.to_string())?;
     let (sender, driver) =
         http1::handshake(TokioIo::new(stream)).await.map_err(|err| err.to_string())?;
-    // An error of the driver also reaches the request that is under way.
+    // The driver's error is dropped because the request in progress reports it too.
     let driver = tokio::spawn(async { drop(driver.await) });
     Ok(Connection { address: address.clone(), sender, _driver: AbortOnDropHandle::new(driver) })
 }
--- a/savoryport_platform/src/engine.rs
+++ b/savoryport_platform/src/engine.rs
@@ -1,4 +1,4 @@
-//! Orders to model engines, and what they report.
+//! A client of the administrative interface of model engines.
 
 use std::time::Duration;
 
@@ -9,31 +9,31 @@
 
 use crate::wire::LoadReport;
 
-/// The status with which an engine refuses an order.
-const CONFLICT: u16 = 409;
+/// The HTTP status by which an engine refuses an order.
+const REFUSED_STATUS: u16 = 409;
 
-/// Why an engine gave no usable answer.
+/// Why a call to an engine failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EngineError {
-    /// No answer came; an order may still be carried out, now or later.
-    #[error("engine at {address} gave no answer: {problem}")]
+    /// No response arrived; an order may have been carried out, or may still be.
+    #[error("no response from the engine at {address}: {problem}")]
     Unanswered {
-        /// Its address.
+        /// The engine's address.
         address: String,
-        /// The client's words.
+        /// The cause, as the HTTP client reports it.
         problem: String,
     },
-    /// The answer is not in the published form.
-    #[error("engine at {address} gave a malformed answer: {problem}")]
+    /// The response does not follow the published format.
+    #[error("malformed response from the engine at {address}: {problem}")]
     Malformed {
-        /// Its address.
+        /// The engine's address.
         address: String,
-        /// What is wrong with it.
+        /// The parser's error message.
         problem: String,
     },
 }
 
-/// A client of one engine's administrative interface.
+/// A blocking client of one engine's administrative interface.
 #[derive(Debug, Clone)]
 pub struct EngineClient {
     address: String,
@@ -41,49 +41,51 @@
 }
 
 impl EngineClient {
-    /// Makes a client of the engine at an IP address and port.
+    /// Creates a client of the engine at `address`, an IP address and port. `timeout` applies to
+    /// each call.
     pub fn new(address: &str, timeout: Duration) -> Self {
         Self { address: address.to_owned(), agent: crate::agent(timeout) }
     }
 
-    /// Sends an order.
+    /// Sends an order and returns whether the engine accepted it, with the engine's state.
     ///
     /// # Errors
     ///
-    /// Returns an error where the order's fate is unknown.
+    /// Returns an error if it is unknown whether the engine carries out the order.
     pub fn send_order(&self, order: &Order) -> Result<OrderResponse, EngineError> {
         let url = format!("http://{}/admin/orders", self.address);
-        let answer = self.agent.post(url).send_json(order).map_err(|err| self.unanswered(&err))?;
-        let was_refused = answer.status().as_u16() == CONFLICT;
-        let state: EngineState = self.read(answer.into_body())?;
+        let response =
+            self.agent.post(url).send_json(order).map_err(|err| self.unanswered(&err))?;
+        let was_refused = response.status().as_u16() == REFUSED_STATUS;
+        let state: EngineState = self.parse(response.into_body())?;
         Ok(if was_refused { OrderResponse::Refused(state) } else { OrderResponse::Accepted(state) })
     }
 
-    /// Asks what is in memory now.
+    /// Returns the present contents of the engine's memory.
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came.
+    /// Returns an error if no response arrives or it cannot be parsed.
     pub fn state(&self) -> Result<EngineState, EngineError> {
         self.get("/admin/state")
     }
 
-    /// Asks for the latest report of load, which lags.
+    /// Returns the engine's latest load report, which lags behind the actual load.
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came.
+    /// Returns an error if no response arrives or it cannot be parsed.
     pub fn load_report(&self) -> Result<LoadReport, EngineError> {
         self.get("/admin/load")
     }
 
     fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, EngineError> {
         let url = format!("http://{}{path}", self.address);
-        let answer = self.agent.get(url).call().map_err(|err| self.unanswered(&err))?;
-        self.read(answer.into_body())
+        let response = self.agent.get(url).call().map_err(|err| self.unanswered(&err))?;
+        self.parse(response.into_body())
     }
 
-    fn read<T: DeserializeOwned>(&self, mut body: Body) -> Result<T, EngineError> {
+    fn parse<T: DeserializeOwned>(&self, mut body: Body) -> Result<T, EngineError> {
         let text = body.read_to_string().map_err(|err| self.unanswered(&err))?;
         serde_json::from_str(&text).map_err(|err| {
             let (address, problem) = (self.address.clone(), err.to_string());
--- a/savoryport_platform/src/kv.rs
+++ b/savoryport_platform/src/kv.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service, over the JSON form of the etcd v3 interface.
+//! A client of the platform's key-value service, over the JSON gateway of the etcd v3 API.
 
 use std::io::{self, BufRead, BufReader};
 use std::time::Duration;
@@ -11,100 +11,103 @@
 use thiserror::Error;
 use ureq::Agent;
 
-/// A revision of the key-value service; 0 stands for a key that does not exist.
+/// A revision of the key-value service. As the revision of a key, 0 means that it does not exist.
 pub type Revision = u64;
 
-/// A lease of the key-value service, which ends with its holder's last renewal.
+/// The id of a lease, which expires unless it is renewed.
 pub type LeaseId = i64;
 
-/// How much longer than the service a watch waits before it counts as unanswered.
+/// The time beyond a watch's own wait after which the client stops waiting for the service.
 const WATCH_GRACE: Duration = Duration::from_millis(500);
 
-/// The longest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
+/// The size limit of a response, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// One key with its value.
+/// A key with its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     /// The key.
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The revision of the last write of this key.
+    /// The revision of the last write to this key.
     pub revision: Revision,
 }
 
-/// One change seen by a watch.
+/// A change that a watch reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A key was written.
     Put(Entry),
-    /// A key was removed.
+    /// A key was deleted.
     Delete {
         /// The key.
         key: String,
-        /// The revision of the removal.
+        /// The revision of the deletion.
         revision: Revision,
     },
 }
 
-/// What came of a conditional write.
+/// The result of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PutResult {
-    /// The value stands, at this revision.
+    /// The value was written, at this revision.
     Written(Revision),
-    /// The key had another revision; nothing was written.
+    /// The key was not at the expected revision; nothing was written.
     Conflict,
 }
 
-/// Why a call of the key-value service gave no result.
+/// Why a call to the key-value service failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum KvError {
     /// Nothing of the call was sent.
-    #[error("key-value service at {address} not reachable: {problem}")]
+    #[error("cannot reach the key-value service at {address}: {problem}")]
     NotReachable {
-        /// Its address.
+        /// The service's address.
         address: String,
-        /// The client's words.
+        /// The cause, as the HTTP client reports it.
         problem: String,
     },
-    /// The call was sent and no answer came: a write may have taken effect, now or later.
-    #[error("key-value service gave no answer: {0}")]
+    /// The call was sent and no response arrived; a write may have taken effect, or may still do so.
+    #[error("no response from the key-value service: {0}")]
     Unanswered(String),
-    /// The service refused the call without carrying it out.
+    /// The service refused the call with this HTTP status and did not execute it.
     #[error("key-value service refused the call with status {0}")]
     Refused(u16),
-    /// The answer is not in the published form.
-    #[error("key-value service gave a malformed answer: {0}")]
+    /// The response does not follow the published format.
+    #[error("malformed response from the key-value service: {0}")]
     Malformed(String),
 }
 
-/// What the product needs of a key-value service.
+/// The operations that Savoryport needs from a key-value service.
 ///
-/// The contract is in `docs/INTERFACES.md`; the contract tests run against any implementation.
+/// `docs/INTERFACES.md` specifies the contract; the contract tests can run against any
+/// implementation.
 pub trait KeyValueService: Send + Sync {
-    /// Why a call gave no result.
+    /// Why a call failed.
     type Error;
 
-    /// Reads a key.
+    /// Reads a key; returns none if it does not exist.
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came.
+    /// Returns an error if the call failed.
     fn get(&self, key: &str) -> Result<Option<Entry>, Self::Error>;
 
-    /// Reads every key with a prefix, and the revision at which that was true.
+    /// Reads all keys with a prefix; returns them with the revision at which they were read.
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came.
+    /// Returns an error if the call failed.
     fn list(&self, prefix: &str) -> Result<(Vec<Entry>, Revision), Self::Error>;
 
-    /// Writes a key if it is still at `expected`; 0 asks that it does not exist.
+    /// Writes a key if its revision is still `expected`, where 0 means that it must not exist. The
+    /// key is bound to `lease`, if one is given.
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came; the write may then have taken effect.
+    /// Returns an error if the call failed; unless the error says otherwise, the write may have
+    /// taken effect.
     fn put_if(
         &self,
         key: &str,
@@ -113,32 +116,32 @@
         lease: Option<LeaseId>,
     ) -> Result<PutResult, Self::Error>;
 
-    /// Asks for a new lease.
+    /// Creates a lease that expires `time_to_live` after its creation or last renewal.
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came.
+    /// Returns an error if the call failed.
     fn grant_lease(&self, time_to_live: Duration) -> Result<LeaseId, Self::Error>;
 
     /// Renews a lease and returns whether it still existed.
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came.
+    /// Returns an error if the call failed.
     fn keep_alive(&self, lease: LeaseId) -> Result<bool, Self::Error>;
 
-    /// Ends a lease and removes its keys.
+    /// Ends a lease, which deletes the keys bound to it.
     ///
     /// # Errors
     ///
-    /// Returns an error where no answer came.
+    /// Returns an error if the call failed.
     fn revoke(&self, lease: LeaseId) -> Result<(), Self::Error>;
 
-    /// Waits for changes after a revision; returns none where nothing changed in time.
+    /// Waits up to `wait` for changes after a revision; returns an empty list if there are none.
     ///
     /// # Errors
     ///
-    /// Returns an error where the service could not be asked.
+    /// Returns an error if the service could not be reached or the watch failed.
     fn watch(
         &self,
         prefix: &str,
@@ -147,7 +150,7 @@
     ) -> Result<Vec<Event>, Self::Error>;
 }
 
-/// A client of the JSON form of etcd v3.
+/// A blocking client of the JSON gateway of etcd v3.
 #[derive(Debug, Clone)]
 pub struct EtcdClient {
     address: String,
@@ -157,7 +160,7 @@
 
 #[derive(Debug, Deserialize)]
 struct Header {
-    #[serde(default, deserialize_with = "number")]
+    #[serde(default, deserialize_with = "integer")]
     revision: u64,
 }
 
@@ -166,43 +169,43 @@
     key: String,
     #[serde(default)]
     value: String,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(default, deserialize_with = "integer")]
     mod_revision: u64,
 }
 
 #[derive(Debug, Deserialize)]
-struct RangeAnswer {
+struct RangeResponse {
     header: Header,
     #[serde(default)]
     kvs: Vec<RawEntry>,
 }
 
 #[derive(Debug, Deserialize)]
-struct TxnAnswer {
+struct TxnResponse {
     header: Header,
     #[serde(default)]
     succeeded: bool,
 }
 
 #[derive(Debug, Deserialize)]
-struct GrantAnswer {
-    #[serde(rename = "ID", deserialize_with = "number")]
+struct GrantResponse {
+    #[serde(rename = "ID", deserialize_with = "integer")]
     id: i64,
 }
 
 #[derive(Debug, Deserialize)]
-struct KeepAliveAnswer {
+struct KeepAliveResponse {
     result: KeepAliveResult,
 }
 
 #[derive(Debug, Deserialize)]
 struct KeepAliveResult {
-    #[serde(rename = "TTL", default, deserialize_with = "number")]
+    #[serde(rename = "TTL", default, deserialize_with = "integer")]
     time_to_live: i64,
 }
 
 #[derive(Debug, Deserialize)]
-struct WatchAnswer {
+struct WatchResponse {
     result: WatchResult,
 }
 
@@ -220,16 +223,17 @@
 }
 
 impl EtcdClient {
-    /// Makes a client of the service at an IP address and port.
+    /// Creates a client of the service at `address`, an IP address and port. `timeout` applies to
+    /// each call; a watch waits longer.
     pub fn new(address: &str, timeout: Duration) -> Self {
         Self { address: address.to_owned(), timeout, agent: crate::agent(timeout) }
     }
 
     fn call<T: DeserializeOwned>(&self, path: &str, body: &Value) -> Result<T, KvError> {
-        self.call_within(path, body, self.timeout)
+        self.call_with_timeout(path, body, self.timeout)
     }
 
-    fn call_within<T: DeserializeOwned>(
+    fn call_with_timeout<T: DeserializeOwned>(
         &self,
         path: &str,
         body: &Value,
@@ -237,17 +241,17 @@
     ) -> Result<T, KvError> {
         let url = format!("http://{}{path}", self.address);
         let req = self.agent.post(url).config().timeout_global(Some(timeout)).build();
-        let mut answer = req.send_json(body).map_err(|err| self.failed(&err))?;
-        let status = answer.status().as_u16();
+        let mut response = req.send_json(body).map_err(|err| self.call_error(&err))?;
+        let status = response.status().as_u16();
         if status != 200 {
             return Err(KvError::Refused(status));
         }
-        let body = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES);
-        let text = body.read_to_string().map_err(|err| self.failed(&err))?;
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
+        let text = body.read_to_string().map_err(|err| self.call_error(&err))?;
         serde_json::from_str(&text).map_err(|err| KvError::Malformed(err.to_string()))
     }
 
-    fn failed(&self, err: &ureq::Error) -> KvError {
+    fn call_error(&self, err: &ureq::Error) -> KvError {
         let (address, problem) = (self.address.clone(), err.to_string());
         if crate::was_not_sent(err) {
             KvError::NotReachable { address, problem }
@@ -261,15 +265,15 @@
     type Error = KvError;
 
     fn get(&self, key: &str) -> Result<Option<Entry>, KvError> {
-        let answer: RangeAnswer = self.call("/v3/kv/range", &json!({ "key": encode(key) }))?;
-        answer.kvs.into_iter().next().map(entry).transpose()
+        let response: RangeResponse = self.call("/v3/kv/range", &json!({ "key": encode(key) }))?;
+        response.kvs.into_iter().next().map(decode_entry).transpose()
     }
 
     fn list(&self, prefix: &str) -> Result<(Vec<Entry>, Revision), KvError> {
         let body = json!({ "key": encode(prefix), "range_end": encode(&prefix_end(prefix)) });
-        let answer: RangeAnswer = self.call("/v3/kv/range", &body)?;
-        let entries = answer.kvs.into_iter().map(entry).collect::<Result<_, _>>()?;
-        Ok((entries, answer.header.revision))
+        let response: RangeResponse = self.call("/v3/kv/range", &body)?;
+        let entries = response.kvs.into_iter().map(decode_entry).collect::<Result<_, _>>()?;
+        Ok((entries, response.header.revision))
     }
 
     fn put_if(
@@ -291,9 +295,9 @@
             "mod_revision": expected.to_string(),
         });
         let body = json!({ "compare": [compare], "success": [{ "request_put": put }] });
-        let answer: TxnAnswer = self.call("/v3/kv/txn", &body)?;
-        if answer.succeeded {
-            Ok(PutResult::Written(answer.header.revision))
+        let response: TxnResponse = self.call("/v3/kv/txn", &body)?;
+        if response.succeeded {
+            Ok(PutResult::Written(response.header.revision))
         } else {
             Ok(PutResult::Conflict)
         }
@@ -302,13 +306,13 @@
     fn grant_lease(&self, time_to_live: Duration) -> Result<LeaseId, KvError> {
         let seconds = time_to_live.as_secs().max(1);
         let body = json!({ "TTL": seconds.to_string() });
-        self.call::<GrantAnswer>("/v3/lease/grant", &body).map(|answer| answer.id)
+        self.call::<GrantResponse>("/v3/lease/grant", &body).map(|response| response.id)
     }
 
     fn keep_alive(&self, lease: LeaseId) -> Result<bool, KvError> {
         let body = json!({ "ID": lease.to_string() });
-        let answer: KeepAliveAnswer = self.call("/v3/lease/keepalive", &body)?;
-        Ok(answer.result.time_to_live > 0)
+        let response: KeepAliveResponse = self.call("/v3/lease/keepalive", &body)?;
+        Ok(response.result.time_to_live > 0)
     }
 
     fn revoke(&self, lease: LeaseId) -> Result<(), KvError> {
@@ -328,43 +332,44 @@
 }
 
 impl EtcdClient {
-    /// Reads the stream of a watch up to its first answer with events.
+    /// Reads the stream of a watch up to its first response with events.
     fn watch_once(&self, body: &Value, timeout: Duration) -> Result<Vec<Event>, KvError> {
         let url = format!("http://{}/v3/watch", self.address);
         let req = self.agent.post(url).config().timeout_global(Some(timeout)).build();
-        let answer = req.send_json(body).map_err(|err| self.failed(&err))?;
-        let status = answer.status().as_u16();
+        let response = req.send_json(body).map_err(|err| self.call_error(&err))?;
+        let status = response.status().as_u16();
         if status != 200 {
             return Err(KvError::Refused(status));
         }
-        let limited = answer.into_body().into_with_config().limit(MAX_ANSWER_BYTES).reader();
-        let mut was_created = false;
+        let limited = response.into_body().into_with_config().limit(MAX_RESPONSE_BYTES).reader();
+        let mut is_confirmed = false;
         for line in BufReader::new(limited).lines() {
             let line = match line {
                 Ok(line) => line,
-                // The service confirmed the watch, and nothing changed in time.
-                Err(err) if was_created && has_timed_out(&err) => break,
+                // The service confirmed the watch, and nothing changed within the timeout.
+                Err(err) if is_confirmed && has_timed_out(&err) => break,
                 Err(err) => return Err(KvError::Unanswered(err.to_string())),
             };
-            was_created = true;
-            let answer: WatchAnswer =
+            is_confirmed = true;
+            let response: WatchResponse =
                 serde_json::from_str(&line).map_err(|err| KvError::Malformed(err.to_string()))?;
-            if !answer.result.events.is_empty() {
-                return answer.result.events.into_iter().map(event).collect();
+            if !response.result.events.is_empty() {
+                return response.result.events.into_iter().map(decode_event).collect();
             }
         }
         Ok(Vec::new())
     }
 }
 
-/// The client hands its own timeout on inside an error of the reader.
+/// Returns whether reading failed because of a timeout. The HTTP client wraps its own timeout error
+/// in the reader's error.
 fn has_timed_out(err: &io::Error) -> bool {
     let inner = err.get_ref().and_then(|inner| inner.downcast_ref::<ureq::Error>());
     matches!(inner, Some(ureq::Error::Timeout(_))) || err.kind() == io::ErrorKind::TimedOut
 }
 
-fn event(raw: RawEvent) -> Result<Event, KvError> {
-    let entry = entry(raw.kv)?;
+fn decode_event(raw: RawEvent) -> Result<Event, KvError> {
+    let entry = decode_entry(raw.kv)?;
     if raw.kind == "DELETE" {
         Ok(Event::Delete { key: entry.key, revision: entry.revision })
     } else {
@@ -372,7 +377,7 @@
     }
 }
 
-fn entry(raw: RawEntry) -> Result<Entry, KvError> {
+fn decode_entry(raw: RawEntry) -> Result<Entry, KvError> {
     let malformed = |problem: String| KvError::Malformed(problem);
     let key = STANDARD.decode(&raw.key).map_err(|err| malformed(err.to_string()))?;
     let key = String::from_utf8(key).map_err(|err| malformed(err.to_string()))?;
@@ -384,16 +389,16 @@
     STANDARD.encode(text)
 }
 
-/// Returns the first key after every key with a prefix.
+/// Returns the smallest key that is greater than all keys with a prefix.
 fn prefix_end(prefix: &str) -> String {
     let mut end = prefix.to_owned();
-    let last = end.pop().expect("a prefix is not empty");
-    end.push(char::from_u32(last as u32 + 1).expect("prefixes end in ASCII"));
+    let last = end.pop().expect("the prefix is not empty");
+    end.push(char::from_u32(last as u32 + 1).expect("the prefix ends in an ASCII character"));
     end
 }
 
-/// The JSON form writes 64-bit numbers as strings.
-fn number<'de, D, T>(deserializer: D) -> Result<T, D::Error>
+/// Deserializes an integer. The JSON gateway writes 64-bit integers as strings.
+fn integer<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: serde::Deserializer<'de>,
     T: std::str::FromStr<Err: std::fmt::Display>,
--- a/savoryport_platform/src/lib.rs
+++ b/savoryport_platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! Adapters to the platform and to the backend servers, one module a neighbour.
+//! Clients of the platform's services and of the backend servers, one module for each.
 //!
-//! Each speaks the neighbour's published protocol through a library; the requests, answers, errors
-//! and units are listed in `docs/INTERFACES.md`.
+//! Each client implements the published protocol of its counterpart on top of a library. The
+//! requests, responses, errors and units are listed in `docs/INTERFACES.md`.
 
 pub mod connection;
 pub mod engine;
@@ -13,7 +13,8 @@
 
 use ureq::Agent;
 
-/// Makes a blocking HTTP client that reports every status and gives up after `timeout`.
+/// Creates a blocking HTTP client that returns responses of any status and limits each call to
+/// `timeout`.
 fn agent(timeout: Duration) -> Agent {
     Agent::config_builder()
         .timeout_global(Some(timeout))
@@ -23,7 +24,7 @@
         .into()
 }
 
-/// Returns whether a call failed before anything of it was handed to a connection.
+/// Returns whether a call failed before anything of it was sent.
 fn was_not_sent(err: &ureq::Error) -> bool {
     match err {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => true,
--- a/savoryport_platform/src/vms.rs
+++ b/savoryport_platform/src/vms.rs
@@ -5,25 +5,25 @@
 use savoryport_core::fleet::VmList;
 use thiserror::Error;
 
-/// The list could not be read.
+/// The list of VMs could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("list of VMs at {address} not readable: {problem}")]
+#[error("cannot read the list of VMs at {address}: {problem}")]
 pub struct VmListError {
-    /// Where the list should be.
+    /// The address from which the list was requested.
     pub address: String,
-    /// What went wrong.
+    /// The cause, as the HTTP client reports it.
     pub problem: String,
 }
 
-/// Reads the list at an IP address and port; it lags behind the truth.
+/// Fetches the list from `address`, an IP address and port. The list lags behind the actual VMs.
 ///
 /// # Errors
 ///
-/// Returns an error where no list came.
+/// Returns an error if no response arrives or it cannot be parsed.
 pub fn fetch(address: &str, timeout: Duration) -> Result<VmList, VmListError> {
     let failed =
         |err: ureq::Error| VmListError { address: address.to_owned(), problem: err.to_string() };
     let url = format!("http://{address}/vms");
-    let mut answer = crate::agent(timeout).get(url).call().map_err(failed)?;
-    answer.body_mut().read_json().map_err(failed)
+    let mut response = crate::agent(timeout).get(url).call().map_err(failed)?;
+    response.body_mut().read_json().map_err(failed)
 }
--- a/savoryport_platform/src/wire.rs
+++ b/savoryport_platform/src/wire.rs
@@ -1,19 +1,19 @@
-//! What goes over the wire to model engines and plain services.
+//! The HTTP headers and JSON bodies that are exchanged with model engines and plain services.
 
 use savoryport_core::Name;
 use savoryport_core::ledger::{EngineState, Order};
 use serde::{Deserialize, Serialize};
 
-/// The header that carries a request's identity to a plain service.
+/// The header with a request's id, sent to plain services.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// The header by which an engine or service says that it takes no new work.
+/// The header by which an engine or service announces that it accepts no new requests.
 pub const DRAINING_HEADER: &str = "x-draining";
 
 /// The body of `POST /v1/completions` and, with `messages`, `POST /v1/chat/completions`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionRequest {
-    /// The model or adapter.
+    /// The name of the model or adapter.
     pub model: Name,
     /// The prompt of a plain completion.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -21,16 +21,16 @@
     /// The messages of a chat.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub messages: Vec<ChatMessage>,
-    /// The most tokens to generate.
+    /// The largest number of tokens to generate.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Whether the answer comes token by token, as server-sent events.
+    /// Whether the response is streamed token by token, as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// The engine's scheduling priority; 0 goes first.
+    /// The priority in the engine's scheduler; 0 is scheduled first.
     #[serde(default)]
     pub priority: u32,
-    /// The number of tokens that the caller has already, for a stream that is resumed.
+    /// The number of tokens that the caller already received, if a stream is resumed.
     #[serde(default)]
     pub resume_from: u32,
 }
@@ -38,60 +38,63 @@
 /// One message of a chat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks: `system`, `user` or `assistant`.
+    /// The role of the author: `system`, `user` or `assistant`.
     pub role: String,
-    /// The words.
+    /// The text of the message.
     pub content: String,
 }
 
-/// One event of a stream, or the whole answer without streaming.
+/// One event of a stream, or the complete response if it is not streamed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionResponse {
-    /// The engine's name for the request.
+    /// The id that the engine gave to the request.
     pub id: String,
-    /// The model that answered.
+    /// The model or adapter that the request named.
     pub model: Name,
-    /// The tokens; there always is exactly one choice.
+    /// The generated text; always exactly one choice.
     pub choices: Vec<Choice>,
 }
 
-/// The text of an answer.
+/// A generated text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choice {
     /// Always 0.
     pub index: u32,
-    /// The text of one token, or of all.
+    /// The text of one token of a stream, or of all tokens.
     pub text: String,
-    /// `stop` or `length` once the answer is complete.
+    /// `stop` or `length` when generation has ended, and otherwise none.
     pub finish_reason: Option<String>,
 }
 
-/// The lagging report of `GET /admin/load`.
+/// The response to `GET /admin/load`, which lags behind the actual load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that wait in the engine.
+    /// The number of requests that wait in the engine.
     pub waiting: u32,
-    /// Requests in the batch.
+    /// The number of requests in the engine's batch.
     pub running: u32,
-    /// How old the report is, in milliseconds.
+    /// The age of the report, in milliseconds.
     pub age_ms: u64,
-    /// Whether the engine takes no new work.
+    /// Whether the engine accepts no new requests.
     pub draining: bool,
 }
 
 /// The body of `POST /admin/orders`.
 pub type OrderRequest = Order;
 
-/// The answer to an order, and to `GET /admin/state`.
+/// The response to an order and to `GET /admin/state`.
 pub type StateResponse = EngineState;
 
 impl CompletionRequest {
-    /// Returns the text that the engine completes.
+    /// Returns the text that the engine completes: the prompt, or the messages one per line.
     pub fn text(&self) -> String {
         match &self.prompt {
             Some(prompt) => prompt.clone(),
             None => {
-                let lines = self.messages.iter().map(|m| format!("{}: {}", m.role, m.content));
+                let lines = self
+                    .messages
+                    .iter()
+                    .map(|message| format!("{}: {}", message.role, message.content));
                 lines.collect::<Vec<_>>().join("\n")
             }
         }
