--- a/savoryport_platform/src/connection.rs
+++ b/savoryport_platform/src/connection.rs
@@ -1,6 +1,6 @@
 //! A pool of HTTP/1 connections to backend servers.
 //!
-//! Common pooled HTTP clients resend a request on their own when a connection turns out to be
+//! Common pooled HTTP clients may resend a request on their own when a connection turns out to be
 //! stale, and don't report whether anything was sent. This pool leaves both to its user: it never
 //! resends a request, and it connects before it accepts a request, so a failure to connect means
 //! that nothing was sent.
