--- a/savoryport_platform/src/connection.rs
+++ b/savoryport_platform/src/connection.rs
@@ -26,8 +26,8 @@
 /// How long before the server's idle timeout the pool stops using a connection.
 const CLOSE_MARGIN: Duration = Duration::from_millis(500);
 
-/// The value of `TCP_USER_TIMEOUT`: the connection is closed when sent data stays unacknowledged for
-/// this long. A network path that drops packets silently would not be detected otherwise.
+/// The value of `TCP_USER_TIMEOUT`: the connection is closed when sent data stays unacknowledged
+/// for this long. A network path that drops packets silently would not be detected otherwise.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Why a request got no response; the variants differ in whether the server may have received it.
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 struct IdleConnection {
     connection: Connection,
-    since: Instant,
+    idle_since: Instant,
     /// The time after which it is no longer used, if the server announced an idle timeout.
     expires_at: Option<Instant>,
 }
@@ -119,19 +119,20 @@
         }
     }
 
-    /// Returns a connection to the pool; its last response must have been read to the end.
+    /// Puts a connection back into the pool; its last response must have been read to the end.
     pub fn release(&self, connection: Connection) {
         self.release_with_keep_alive(connection, None);
     }
 
-    /// Returns a connection to the pool; the server closes it when it is idle for `keep_alive`.
+    /// Puts a connection back into the pool; the server closes it after it was idle for
+    /// `keep_alive`, if that is known.
     pub fn release_with_keep_alive(&self, connection: Connection, keep_alive: Option<Duration>) {
         let mut idle = self.idle.lock().expect("no thread panics while holding the lock");
         let connections = idle.entry(connection.address.clone()).or_default();
         if !connection.sender.is_closed() && connections.len() < MAX_IDLE_PER_SERVER {
-            let since = Instant::now();
-            let expires_at = keep_alive.map(|time| since + time.saturating_sub(CLOSE_MARGIN));
-            connections.push(IdleConnection { connection, since, expires_at });
+            let idle_since = Instant::now();
+            let expires_at = keep_alive.map(|time| idle_since + time.saturating_sub(CLOSE_MARGIN));
+            connections.push(IdleConnection { connection, idle_since, expires_at });
         }
     }
 
@@ -149,7 +150,7 @@
                 && idle.expires_at.is_none_or(|expires_at| now < expires_at)
         });
         let position = connections.iter().rposition(|idle| {
-            idle.connection.sender.is_ready() && now.duration_since(idle.since) < max_idle
+            idle.connection.sender.is_ready() && now.duration_since(idle.idle_since) < max_idle
         })?;
         Some(connections.remove(position).connection)
     }
--- a/savoryport_platform/src/kv.rs
+++ b/savoryport_platform/src/kv.rs
@@ -68,7 +68,8 @@
         /// The cause, as the HTTP client reports it.
         problem: String,
     },
-    /// The call was sent and no response arrived; a write may have taken effect, or may still do so.
+    /// The call was sent and no response arrived; a write may have taken effect, or may still do
+    /// so.
     #[error("no response from the key-value service: {0}")]
     Unanswered(String),
     /// The service refused the call with this HTTP status and did not execute it.
@@ -224,7 +225,7 @@
 
 impl EtcdClient {
     /// Creates a client of the service at `address`, an IP address and port. `timeout` applies to
-    /// each call; a watch waits longer.
+    /// each call except watches.
     pub fn new(address: &str, timeout: Duration) -> Self {
         Self { address: address.to_owned(), timeout, agent: crate::agent(timeout) }
     }
@@ -265,12 +266,16 @@
     type Error = KvError;
 
     fn get(&self, key: &str) -> Result<Option<Entry>, KvError> {
-        let response: RangeResponse = self.call("/v3/kv/range", &json!({ "key": encode(key) }))?;
+        let response: RangeResponse =
+            self.call("/v3/kv/range", &json!({ "key": encode_base64(key) }))?;
         response.kvs.into_iter().next().map(decode_entry).transpose()
     }
 
     fn list(&self, prefix: &str) -> Result<(Vec<Entry>, Revision), KvError> {
-        let body = json!({ "key": encode(prefix), "range_end": encode(&prefix_end(prefix)) });
+        let body = json!({
+            "key": encode_base64(prefix),
+            "range_end": encode_base64(&prefix_end(prefix)),
+        });
         let response: RangeResponse = self.call("/v3/kv/range", &body)?;
         let entries = response.kvs.into_iter().map(decode_entry).collect::<Result<_, _>>()?;
         Ok((entries, response.header.revision))
@@ -283,7 +288,7 @@
         expected: Revision,
         lease: Option<LeaseId>,
     ) -> Result<PutResult, KvError> {
-        let key = encode(key);
+        let key = encode_base64(key);
         let mut put = json!({ "key": key, "value": STANDARD.encode(value) });
         if let Some(lease) = lease {
             put["lease"] = json!(lease.to_string());
@@ -322,8 +327,8 @@
 
     fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Vec<Event>, KvError> {
         let create = json!({
-            "key": encode(prefix),
-            "range_end": encode(&prefix_end(prefix)),
+            "key": encode_base64(prefix),
+            "range_end": encode_base64(&prefix_end(prefix)),
             "start_revision": (after + 1).to_string(),
         });
         let body = json!({ "create_request": create });
@@ -385,7 +390,7 @@
     Ok(Entry { key, value, revision: raw.mod_revision })
 }
 
-fn encode(text: &str) -> String {
+fn encode_base64(text: &str) -> String {
     STANDARD.encode(text)
 }
 
