--- a/savoryport/src/cli/table.rs
+++ b/savoryport/src/cli/table.rs
@@ -13,7 +13,7 @@
 use savoryport_core::table::{
     Row, RowChange, Table, TableDelta, TableError, check_memory_fit, merge_rows, parse_csv, to_csv,
 };
-use savoryport_platform::kv::{EtcdClient, KeyValue, KvError, PutAnswer, Revision};
+use savoryport_platform::kv::{EtcdClient, KeyValueService, KvError, PutResult, Revision};
 use savoryport_platform::vms;
 
 use super::CliError;
@@ -117,11 +117,11 @@
     let mut was_unanswered = false;
     loop {
         match kv.put_if(keys::TABLE, value, revision, None) {
-            Ok(PutAnswer::Written(_)) => return Ok(PutOutcome::Accepted),
-            Ok(PutAnswer::Conflict) if was_unanswered => {
+            Ok(PutResult::Written(_)) => return Ok(PutOutcome::Accepted),
+            Ok(PutResult::Conflict) if was_unanswered => {
                 return outcome_after_conflict(kv, new_table);
             }
-            Ok(PutAnswer::Conflict) => return Ok(PutOutcome::Conflict),
+            Ok(PutResult::Conflict) => return Ok(PutOutcome::Conflict),
             Err(err) if Instant::now() >= deadline => {
                 return Err(timeout_error(was_unanswered, &err));
             }
--- a/savoryport/src/control/reconcile.rs
+++ b/savoryport/src/control/reconcile.rs
@@ -13,7 +13,7 @@
 use savoryport_core::load_slots;
 use savoryport_core::replica::{Replica, Residency};
 use savoryport_platform::engine::EngineClient;
-use savoryport_platform::kv::{PutAnswer, Revision};
+use savoryport_platform::kv::{PutResult, Revision};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 use super::Context;
@@ -181,13 +181,13 @@
         let key = keys::server_key(&self.vm.name);
         let value = serde_json::to_vec(&record).expect("a record can be serialized");
         let result = match self.cx.kv.put_if(&key, value, revision, None).await {
-            Ok(PutAnswer::Written(revision)) => {
+            Ok(PutResult::Written(revision)) => {
                 self.cx
                     .state
                     .merge_residency(&self.vm.name, Residency::from_record(&record, revision));
                 WriteResult::Written(revision)
             }
-            Ok(PutAnswer::Conflict) => {
+            Ok(PutResult::Conflict) => {
                 self.cx.metrics.write_conflicts.inc();
                 WriteResult::Conflict
             }
@@ -207,7 +207,7 @@
         self.cx.metrics.orders.get_or_create(&CauseLabels { cause }).inc();
         self.reconciler.on_order_sent(&order);
         let (engine, sent_order) = (self.engine.clone(), order.clone());
-        match tokio::task::spawn_blocking(move || engine.order(&sent_order)).await {
+        match tokio::task::spawn_blocking(move || engine.send_order(&sent_order)).await {
             Ok(Ok(response)) => {
                 self.reconciler.on_order_response(&order, response);
                 tokio::time::sleep(ORDER_DELAY).await;
--- a/savoryport/src/node/leadership.rs
+++ b/savoryport/src/node/leadership.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use savoryport_adapter::store::{Committed, StoreError, Transaction};
+use savoryport_adapter::store::{CommitResult, StoreError, Transaction};
 use savoryport_core::Name;
 use savoryport_core::node::leadership::Leadership;
 
@@ -98,7 +98,7 @@
         let sent_at = cx.lease_clock.now();
         let time_to_live = cx.settings.leadership_lease_ttl();
         cx.metrics.store_calls.inc();
-        let lease = match cx.store.grant(time_to_live).await {
+        let lease = match cx.store.grant_lease(time_to_live).await {
             Ok(lease) => lease,
             Err(err) => return log::warn!(err:% = err; "cannot get a lease for the leadership"),
         };
@@ -112,7 +112,7 @@
         };
         cx.metrics.store_calls.inc();
         match cx.store.commit(&transaction).await {
-            Ok(Committed::At(revision)) => {
+            Ok(CommitResult::Committed(revision)) => {
                 let is_first_start = cx.settings.first_start && !self.led_before.contains(domain);
                 let handover_delay = if is_first_start {
                     Duration::ZERO
@@ -129,7 +129,7 @@
                 cx.fleet.update(|state| state.set_leader(domain, Some(leader)));
                 tokio::spawn(keep_leadership(cx.clone(), controller));
             }
-            Ok(Committed::Conflict) => {
+            Ok(CommitResult::Conflict) => {
                 self.led_before.insert(domain.clone());
                 end_lease(cx, lease).await;
             }
@@ -152,7 +152,7 @@
         }
         let sent_at = cx.lease_clock.now();
         cx.metrics.store_calls.inc();
-        match cx.store.keep(controller.lease_id()).await {
+        match cx.store.renew_lease(controller.lease_id()).await {
             Ok(()) => {
                 controller.record_renewal(sent_at);
                 cx.store_health.record_answer(cx.now());
