--- a/savoryport_bench/src/bin/demo.rs
+++ b/savoryport_bench/src/bin/demo.rs
@@ -1,7 +1,7 @@
-//! The whole system on loopback, in one process: what a newcomer runs first.
+//! Runs the whole system on loopback in one process, as a demonstration.
 //!
-//! A process starts no other, so stand-ins and daemons run as tasks here. `--exit` ends the
-//! demonstration after its requests; otherwise it stays for requests by hand.
+//! The stand-ins and daemons run as tasks of this process, which starts no other. `--exit` ends the
+//! demonstration after its requests; without it, the system keeps running for requests by hand.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -14,23 +14,23 @@
 use serde_json::{Value, json};
 use tokio_util::sync::CancellationToken;
 
-/// The table that is put in force.
-const TABLE: &str = include_str!("../../../examples/kivela/table.csv");
+/// The table that is applied.
+const TABLE_CSV: &str = include_str!("../../../examples/kivela/table.csv");
 
-/// The VMs, whose addresses are moved to loopback.
-const VMS: &str = include_str!("../../../examples/kivela/vms.json");
+/// The VM list; its addresses are replaced by loopback addresses.
+const VMS_JSON: &str = include_str!("../../../examples/kivela/vms.json");
 
-/// How long the models may take to come into memory.
+/// How long to wait until all models are in memory.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The pause between two looks.
-const POLL: Duration = Duration::from_millis(200);
+/// The interval between checks of the engines' memory.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
 fn main() -> ExitCode {
-    let stays = !std::env::args().any(|arg| arg == "--exit");
-    match run(stays) {
+    let keep_running = !std::env::args().any(|arg| arg == "--exit");
+    match run(keep_running) {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("savoryport-demo: {err}");
@@ -39,9 +39,9 @@
     }
 }
 
-fn run(stays: bool) -> Result<(), Failure> {
+fn run(keep_running: bool) -> Result<(), BoxError> {
     savoryport::logging::start("savoryport-demo", "error");
-    let list: VmList = serde_json::from_str(VMS)?;
+    let list: VmList = serde_json::from_str(VMS_JSON)?;
     let fleet = LocalFleet::start(list, Duration::from_millis(500), |vm| EngineConfig {
         capacity_mib: vm.memory_mib,
         checks_fencing: vm.checks_fencing,
@@ -60,7 +60,7 @@
     let entry = fleet.entries()[0].address.to_string();
     wait_for_models(&fleet)?;
     send_requests(&entry)?;
-    if stays {
+    if keep_running {
         print_hints(&entry, &fleet);
         runtime.block_on(tokio::signal::ctrl_c())?;
     }
@@ -73,7 +73,7 @@
     runtime: &tokio::runtime::Runtime,
     fleet: &LocalFleet,
     cancel: &CancellationToken,
-) -> Result<(), Failure> {
+) -> Result<(), BoxError> {
     for vm in fleet.entries() {
         let settings = Settings::parse(&fleet.settings(vm).to_string())?.settings;
         let control = savoryport::control::run(settings.clone(), cancel.clone());
@@ -85,11 +85,11 @@
     Ok(())
 }
 
-fn apply_table(fleet: &LocalFleet) -> Result<(), Failure> {
+fn apply_table(fleet: &LocalFleet) -> Result<(), BoxError> {
     let folder = std::env::temp_dir().join(format!("savoryport-demo-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let path = folder.join("table.csv");
-    std::fs::write(&path, TABLE)?;
+    std::fs::write(&path, TABLE_CSV)?;
     let options = Options {
         key_value: fleet.kv.address().to_owned(),
         vm_list: Some(fleet.vms.address().to_owned()),
@@ -102,8 +102,8 @@
     Ok(())
 }
 
-fn wait_for_models(fleet: &LocalFleet) -> Result<(), Failure> {
-    let rows = savoryport_core::table::parse_csv(TABLE.as_bytes())?;
+fn wait_for_models(fleet: &LocalFleet) -> Result<(), BoxError> {
+    let rows = savoryport_core::table::parse_csv(TABLE_CSV.as_bytes())?;
     let started = Instant::now();
     loop {
         let loaded: Vec<_> =
@@ -117,25 +117,25 @@
         if started.elapsed() > LOAD_TIMEOUT {
             return Err(format!("{missing} models are still not in memory").into());
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn send_requests(entry: &str) -> Result<(), Failure> {
-    // Entries hear of a load a moment after it.
-    std::thread::sleep(POLL * 5);
-    for (model, what) in [
+fn send_requests(entry: &str) -> Result<(), BoxError> {
+    // Entries learn of a finished load with a short delay.
+    std::thread::sleep(POLL_INTERVAL * 5);
+    for (model, rank) in [
         ("template-review-1", "urgent"),
         ("pattern-hint-1", "normal"),
         ("catalogue-text-1", "batch"),
     ] {
         let body = json!({
             "model": model,
-            "prompt": format!("Hello from the {what} rank"),
+            "prompt": format!("Hello from the {rank} rank"),
             "max_tokens": 4,
         });
         let (status, outcome, text) = post(entry, "/v1/completions", None, &body)?;
-        println!("{what:>7} completion of {model}: {status} {outcome} {text}");
+        println!("{rank:>7} completion of {model}: {status} {outcome} {text}");
     }
     let answer: Value = ureq::get(format!("http://{entry}/v1/entry?item=restock"))
         .call()?
@@ -155,7 +155,7 @@
     path: &str,
     ticket: Option<&str>,
     body: &Value,
-) -> Result<(u16, String, String), Failure> {
+) -> Result<(u16, String, String), BoxError> {
     let agent: ureq::Agent =
         ureq::Agent::config_builder().http_status_as_error(false).build().into();
     let mut req = agent.post(format!("http://{entry}{path}"));
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -1,5 +1,5 @@
-//! The slopes of docs/CAPACITY.md: each role's real code at four sizes, with real sockets where
-//! bytes are counted.
+//! Measures how costs grow with the size of the fleet, for docs/CAPACITY.md: runs the real code of
+//! each role at four sizes, with real sockets where bytes are counted.
 
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -27,55 +27,55 @@
 use smallvec::SmallVec;
 use tokio_util::sync::CancellationToken;
 
-use crate::processor::seconds_of;
+use crate::thread_cpu::thread_cpu_seconds;
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
-/// The share of the target size at which each state is built.
-const SHARES: [f64; 4] = [0.125, 0.25, 0.5, 1.0];
+/// The fractions of the target size that are measured.
+const SIZE_FRACTIONS: [f64; 4] = [0.125, 0.25, 0.5, 1.0];
 
-/// Servers at the target size.
+/// The number of servers at the target size.
 const SERVERS: usize = 830;
 
-/// Nodes at the target size.
+/// The number of nodes at the target size.
 const NODES: usize = 350;
 
-/// Models at the target size.
+/// The number of models at the target size.
 const MODELS: usize = 620;
 
-/// Engines that one control process holds while its cost is measured.
-const STEWARDED: [usize; 4] = [8, 16, 32, 64];
+/// The numbers of engines whose leases one control process holds while its cost is measured.
+const SERVERS_HELD: [usize; 4] = [8, 16, 32, 64];
 
-/// Followers of one control process while its cost is measured.
+/// The numbers of followers of one control process while its cost is measured.
 const FOLLOWERS: [usize; 4] = [4, 8, 16, 32];
 
-/// How long a steady state is watched.
-const WATCHED: Duration = Duration::from_secs(6);
+/// How long a steady state is observed.
+const OBSERVATION_TIME: Duration = Duration::from_secs(6);
 
-/// Changes of the table that are spread.
-const CHANGES: u64 = 10;
+/// The number of table changes that are propagated to the followers.
+const TABLE_CHANGES: u64 = 10;
 
-/// The name of the threads whose processor time is counted.
-const CONTROL_THREADS: &str = "control";
+/// The name of the control process's threads, whose CPU time is measured.
+const CONTROL_THREAD_NAME: &str = "control";
 
-/// A figure at several sizes.
+/// A value measured at several sizes.
 struct Series {
-    what: &'static str,
+    figure: &'static str,
     unit: &'static str,
     points: Vec<(f64, f64)>,
 }
 
 impl Series {
-    fn new(what: &'static str, unit: &'static str) -> Self {
-        Self { what, unit, points: Vec::new() }
+    fn new(figure: &'static str, unit: &'static str) -> Self {
+        Self { figure, unit, points: Vec::new() }
     }
 
     fn add(&mut self, size: usize, value: f64) {
         self.points.push((size as f64, value));
     }
 
-    /// Returns slope, intercept and the largest residual of a straight line.
-    fn fit(&self) -> (f64, f64, f64) {
+    /// Fits a straight line by least squares; returns its slope, intercept and largest residual.
+    fn fit_line(&self) -> (f64, f64, f64) {
         let count = self.points.len() as f64;
         let mean_x = self.points.iter().map(|p| p.0).sum::<f64>() / count;
         let mean_y = self.points.iter().map(|p| p.1).sum::<f64>() / count;
@@ -87,32 +87,32 @@
         (slope, intercept, self.points.iter().map(residual).fold(0.0, f64::max))
     }
 
-    fn line(&self) -> String {
-        let (slope, intercept, residual) = self.fit();
+    fn table_row(&self) -> String {
+        let (slope, intercept, residual) = self.fit_line();
         let points: Vec<String> =
             self.points.iter().map(|(x, y)| format!("{x:.0}: {y:.3}")).collect();
         format!(
             "| {} | {} | {} | {slope:.4} | {intercept:.3} | {residual:.3} |",
-            self.what,
+            self.figure,
             self.unit,
             points.join(", ")
         )
     }
 }
 
-/// Measures every slope and prints the table of the page.
-pub fn run() -> Result<(), Failure> {
+/// Measures every series and prints it with its fitted line as a Markdown table.
+pub fn run() -> Result<(), BoxError> {
     let mut series = Vec::new();
     series.extend(measure_state());
     series.extend(measure_decisions());
     series.extend(measure_followers()?);
-    series.extend(measure_stewards()?);
+    series.extend(measure_reconciliation()?);
     let mut text = String::from(
         "| figure | unit | measured, size: value | slope | intercept | largest residual |\n\
          | --- | --- | --- | --- | --- | --- |\n",
     );
     for series in series {
-        let _ = writeln!(text, "{}", series.line());
+        let _ = writeln!(text, "{}", series.table_row());
     }
     println!("{text}");
     Ok(())
@@ -134,23 +134,23 @@
     }
 }
 
-fn model_name(at: usize) -> String {
-    format!("workshop-model-{at:04}")
+fn model_name(index: usize) -> String {
+    format!("workshop-model-{index:04}")
 }
 
 fn table(models: usize, version: u64, memory_mib: u32) -> Table {
-    let rows = (0..models).map(|at| row(model_name(at), memory_mib)).collect();
+    let rows = (0..models).map(|index| row(model_name(index), memory_mib)).collect();
     Table { version, change_id: format!("{version:016x}"), rows }
 }
 
-fn vm(role: VmRole, at: usize) -> Vm {
+fn vm(role: VmRole, index: usize) -> Vm {
     Vm {
-        name: format!("{role:?}-{at:04}").to_lowercase().into(),
+        name: format!("{role:?}-{index:04}").to_lowercase().into(),
         role,
-        address: format!("10.0.{}.{}:8000", at / 250, at % 250).into(),
-        control_address: Some(format!("10.1.{}.{}:7002", at / 250, at % 250).into()),
-        failure_domain: format!("domain-{}", at % 7).into(),
-        region: format!("region-{}", at % 3).into(),
+        address: format!("10.0.{}.{}:8000", index / 250, index % 250).into(),
+        control_address: Some(format!("10.1.{}.{}:7002", index / 250, index % 250).into()),
+        failure_domain: format!("domain-{}", index % 7).into(),
+        region: format!("region-{}", index % 3).into(),
         leaving: false,
         memory_mib: 640_000,
         checks_fencing: true,
@@ -158,32 +158,34 @@
     }
 }
 
-fn full_update(share: f64) -> Update {
-    let scaled = |full: usize| (full as f64 * share) as usize;
+/// Returns an update that carries the whole state at a fraction of the target size.
+fn full_update(fraction: f64) -> Update {
+    let scaled = |full: usize| (full as f64 * fraction) as usize;
     let (servers, nodes, models) = (scaled(SERVERS), scaled(NODES), scaled(MODELS));
-    let engines = (0..servers).map(|at| vm(VmRole::Engine, at));
-    let entries = (0..nodes).map(|at| vm(VmRole::Entry, at));
+    let engines = (0..servers).map(|index| vm(VmRole::Engine, index));
+    let entries = (0..nodes).map(|index| vm(VmRole::Entry, index));
     let vms = VmList { version: 1, vms: engines.chain(entries).collect() };
-    let loaded = |at: usize| (0..8).map(|k| model_name((at * 8 + k) % models).into()).collect();
+    let loaded =
+        |index: usize| (0..8).map(|k| model_name((index * 8 + k) % models).into()).collect();
     let memory = MemoryUse { reserved_mib: 600_000, retained_mib: 0, capacity_mib: 640_000 };
     let residency = (0..servers)
-        .map(|at| {
+        .map(|index| {
             let holder = Some("entry-0001".into());
             let residency = Residency {
-                revision: at as u64 + 1,
+                revision: index as u64 + 1,
                 plan_version: 1,
-                loaded: loaded(at),
+                loaded: loaded(index),
                 holder,
                 memory: memory.clone(),
             };
-            (vms.vms[at].name.clone(), residency)
+            (vms.vms[index].name.clone(), residency)
         })
         .collect();
     let plan = Plan {
         version: 1,
-        servers: (0..servers).map(|at| (vms.vms[at].name.clone(), loaded(at))).collect(),
+        servers: (0..servers).map(|index| (vms.vms[index].name.clone(), loaded(index))).collect(),
         homes: (0..models)
-            .map(|at| (model_name(at).into(), vms.vms[at % servers].name.clone()))
+            .map(|index| (model_name(index).into(), vms.vms[index % servers].name.clone()))
             .collect(),
     };
     Update {
@@ -196,27 +198,28 @@
     }
 }
 
-/// The state that every node holds, and the cost of one change in it.
+/// Measures the size of the state that every node holds, and the cost of one change in it.
 fn measure_state() -> Vec<Series> {
     let mut bytes = Series::new("whole state, as sent to a node that starts", "bytes by servers");
     let mut memory = Series::new("whole state in memory", "KiB by servers");
     let mut change = Series::new("one changed row, as sent", "bytes by servers");
     let mut merge = Series::new("one changed row, merged and copied", "us by servers");
-    for share in SHARES {
-        let size = (SERVERS as f64 * share) as usize;
-        let update = full_update(share);
-        bytes.add(size, serde_json::to_vec(&update).expect("plain values").len() as f64);
+    for fraction in SIZE_FRACTIONS {
+        let size = (SERVERS as f64 * fraction) as usize;
+        let update = full_update(fraction);
+        bytes
+            .add(size, serde_json::to_vec(&update).expect("the update is valid JSON").len() as f64);
         let before = resident_kib();
         let replicas: Vec<Replica> = (0..8)
             .map(|_| {
-                let text = serde_json::to_vec(&update).expect("plain values");
+                let text = serde_json::to_vec(&update).expect("the update is valid JSON");
                 let mut replica = Replica::default();
-                replica.merge(serde_json::from_slice(&text).expect("plain values"));
+                replica.merge(serde_json::from_slice(&text).expect("the update is valid JSON"));
                 replica
             })
             .collect();
         memory.add(size, (resident_kib() - before).max(0.0) / replicas.len() as f64);
-        let mut replica = replicas.into_iter().next().expect("eight of them");
+        let mut replica = replicas.into_iter().next().expect("there are eight replicas");
         let have = replica.versions();
         let mut next = (*replica.table).clone();
         next.version += 1;
@@ -226,20 +229,20 @@
         let copy = Arc::new(replica.clone());
         merge.add(size, started.elapsed().as_secs_f64() * 1e6);
         let sent = copy.update_for(&have);
-        change.add(size, serde_json::to_vec(&sent).expect("plain values").len() as f64);
+        change.add(size, serde_json::to_vec(&sent).expect("the update is valid JSON").len() as f64);
     }
     vec![bytes, memory, change, merge]
 }
 
-/// The time of a plan and of a routing decision.
+/// Measures the time of a plan and of a routing decision.
 fn measure_decisions() -> Vec<Series> {
-    let mut planning = Series::new("a whole plan from nothing", "ms by servers");
-    let mut replanning = Series::new("the next plan", "ms by servers");
+    let mut planning = Series::new("a plan without a previous plan", "ms by servers");
+    let mut replanning = Series::new("the next plan, after a shift of demand", "ms by servers");
     let mut median = Series::new("routing a request, median", "us by servers");
     let mut slowest = Series::new("routing a request, p99", "us by servers");
-    for share in SHARES {
-        let servers = (SERVERS as f64 * share) as usize;
-        let models = (MODELS as f64 * share) as usize;
+    for fraction in SIZE_FRACTIONS {
+        let servers = (SERVERS as f64 * fraction) as usize;
+        let models = (MODELS as f64 * fraction) as usize;
         let (first, next) = time_plans(servers, models);
         planning.add(servers, first);
         replanning.add(servers, next);
@@ -250,33 +253,36 @@
     vec![planning, replanning, median, slowest]
 }
 
+/// Returns the time of a plan without a previous plan, and of the next plan after the demand has
+/// shifted, in milliseconds.
 fn time_plans(servers: usize, models: usize) -> (f64, f64) {
     let table = table(models, 1, 60_000);
     let fleet: Vec<ServerCapacity> = (0..servers)
-        .map(|at| ServerCapacity {
-            name: format!("engine-{at:04}").into(),
-            failure_domain: format!("domain-{}", at % 7).into(),
+        .map(|index| ServerCapacity {
+            name: format!("engine-{index:04}").into(),
+            failure_domain: format!("domain-{}", index % 7).into(),
             capacity_mib: 640_000,
         })
         .collect();
     let demand: HashMap<Name, f64> =
-        (0..models).map(|at| (model_name(at).into(), 100.0 / (1.0 + at as f64))).collect();
-    let make = |current: &Plan, demand: &HashMap<Name, f64>| {
+        (0..models).map(|index| (model_name(index).into(), 100.0 / (1.0 + index as f64))).collect();
+    let timed_plan = |current: &Plan, demand: &HashMap<Name, f64>| {
         let started = Instant::now();
         let input =
             PlacementInput { table: &table, servers: &fleet, demand, current, move_budget: 8 };
-        let made = compute_plan(&input);
-        (made, started.elapsed().as_secs_f64() * 1e3)
+        let plan = compute_plan(&input);
+        (plan, started.elapsed().as_secs_f64() * 1e3)
     };
-    let (current, first) = make(&Plan::default(), &demand);
+    let (current, first) = timed_plan(&Plan::default(), &demand);
     let shifted: HashMap<Name, f64> = (0..models)
-        .map(|at| (model_name(models - 1 - at).into(), 100.0 / (1.0 + at as f64)))
+        .map(|index| (model_name(models - 1 - index).into(), 100.0 / (1.0 + index as f64)))
         .collect();
-    let (_, next) = make(&current, &shifted);
+    let (_, next) = timed_plan(&current, &shifted);
     (first, next)
 }
 
-/// Times decisions at 620 models on the servers that one entry sees.
+/// Returns the median and 99th percentile time of a routing decision in microseconds, with 620
+/// models on the servers that one entry knows.
 fn time_routing(servers: usize) -> (f64, f64) {
     const REQUESTS: u64 = 100_000;
     let mut dispatch = Dispatch::new(DispatchConfig {
@@ -287,17 +293,18 @@
         region_round_trip: Duration::from_millis(40),
         prefill_per_token: Duration::from_micros(50),
     });
-    let infos = (0..servers).map(|at| ServerInfo {
-        name: format!("engine-{at:04}").into(),
-        region: format!("region-{}", at % 3).into(),
-        loaded: (0..8).map(|k| model_name((at * 8 + k) % MODELS).into()).collect(),
+    let infos = (0..servers).map(|index| ServerInfo {
+        name: format!("engine-{index:04}").into(),
+        region: format!("region-{}", index % 3).into(),
+        loaded: (0..8).map(|k| model_name((index * 8 + k) % MODELS).into()).collect(),
         leaving: false,
     });
     dispatch.set_servers(infos.collect());
-    let items: Vec<Name> = (0..MODELS).map(|at| model_name(at).into()).collect();
-    let mut times = hdrhistogram::Histogram::<u64>::new(3).expect("three digits");
+    let items: Vec<Name> = (0..MODELS).map(|index| model_name(index).into()).collect();
+    let mut times =
+        hdrhistogram::Histogram::<u64>::new(3).expect("three significant digits are supported");
     let start = Instant::now();
-    let mut ends: Vec<(Name, Name, Instant)> = Vec::new();
+    let mut in_progress: Vec<(Name, Name, Instant)> = Vec::new();
     for id in 0..REQUESTS {
         let now = start + Duration::from_micros(170 * id);
         let req = Request {
@@ -312,14 +319,18 @@
         };
         let began = Instant::now();
         let actions = dispatch.submit(req, now);
-        times.record(began.elapsed().as_nanos() as u64).expect("within bounds");
+        times.record(began.elapsed().as_nanos() as u64).expect("the histogram resizes itself");
         for action in actions {
             if let savoryport_core::dispatch::Action::Start { server, .. } = action {
-                ends.push((server, items[(id * 7_919 % MODELS as u64) as usize].clone(), now));
+                in_progress.push((
+                    server,
+                    items[(id * 7_919 % MODELS as u64) as usize].clone(),
+                    now,
+                ));
             }
         }
-        if ends.len() > 400 {
-            let (server, item, began) = ends.swap_remove(0);
+        if in_progress.len() > 400 {
+            let (server, item, began) = in_progress.swap_remove(0);
             let mut sample = Sample::in_progress(300, Duration::from_millis(70));
             sample.end = RequestEnd::Completed;
             sample.total = now - began;
@@ -330,24 +341,25 @@
     (micros(0.5), micros(0.99))
 }
 
-/// A control process in this one, with threads of its own whose time is counted.
-struct Control {
+/// A control process that runs inside this one, on its own threads, whose CPU time is measured.
+struct ControlProcess {
     fleet: LocalFleet,
     address: String,
-    /// Ends the threads with it.
+    /// Stops the threads when it is dropped.
     _runtime: tokio::runtime::Runtime,
     cancel: CancellationToken,
     kv: EtcdClient,
 }
 
-impl Control {
-    /// Starts a control process before so many engines, and waits until its models are loaded.
-    fn start(engines: usize) -> Result<Self, Failure> {
+impl ControlProcess {
+    /// Starts a control process with the given number of engines, and waits until its models are
+    /// loaded.
+    fn start(engines: usize) -> Result<Self, BoxError> {
         let mut vms = vec![Vm { failure_domain: "domain-0".into(), ..vm(VmRole::Entry, 0) }];
-        vms.extend((0..engines).map(|at| Vm {
+        vms.extend((0..engines).map(|index| Vm {
             failure_domain: "domain-0".into(),
             memory_mib: 100,
-            ..vm(VmRole::Engine, at)
+            ..vm(VmRole::Engine, index)
         }));
         let list = VmList { version: 1, vms };
         let fleet = LocalFleet::start(list, Duration::ZERO, |vm| EngineConfig {
@@ -361,7 +373,7 @@
         let address = settings.control_listen.clone();
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
-            .thread_name(CONTROL_THREADS)
+            .thread_name(CONTROL_THREAD_NAME)
             .enable_all()
             .build()?;
         let cancel = CancellationToken::new();
@@ -374,11 +386,13 @@
         Ok(control)
     }
 
-    fn write_table(&self, table: &Table) -> Result<(), Failure> {
+    fn write_table(&self, table: &Table) -> Result<(), BoxError> {
         let revision = self.kv.get(keys::TABLE)?.map_or(0, |entry| entry.revision);
         match self.kv.put_if(keys::TABLE, &table.encode()?, revision, None)? {
             PutAnswer::Written(_) => Ok(()),
-            PutAnswer::Conflict => Err("nobody else writes here".into()),
+            PutAnswer::Conflict => {
+                Err("another process changed the table during the measurement".into())
+            }
         }
     }
 
@@ -390,66 +404,66 @@
         while loaded() < engines && started.elapsed() < Duration::from_secs(60) {
             std::thread::sleep(Duration::from_millis(100));
         }
-        // What the last load has set off comes to rest.
+        // Waits until the updates that the last load triggers have finished.
         std::thread::sleep(Duration::from_secs(3));
     }
 }
 
-impl Drop for Control {
+impl Drop for ControlProcess {
     fn drop(&mut self) {
         self.cancel.cancel();
         std::thread::sleep(Duration::from_millis(300));
     }
 }
 
-/// What followers cost the process that they follow, and the bytes of each.
-fn measure_followers() -> Result<Vec<Series>, Failure> {
-    let mut idle = Series::new("a follower without news", "bytes/s by followers");
+/// Measures the CPU time and bytes that followers cost the process that they follow.
+fn measure_followers() -> Result<Vec<Series>, BoxError> {
+    let mut idle = Series::new("an idle follower", "bytes/s by followers");
     let mut change = Series::new("a changed row, all followers", "bytes by followers");
-    let mut spread =
+    let mut propagation =
         Series::new("a changed row, until the last follower has it", "ms by followers");
-    let mut time = Series::new("processor time without news", "% of a core by followers");
+    let mut time = Series::new("CPU time with idle followers", "% of a core by followers");
     for count in FOLLOWERS {
-        let control = Control::start(4)?;
+        let control = ControlProcess::start(4)?;
         let proxy = Proxy::start("127.0.0.1:0", &control.address);
         let others =
             tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
         let (tx, rx) = std::sync::mpsc::channel();
-        for at in 0..count {
-            others.spawn(follow(proxy.address().to_owned(), at, tx.clone()));
+        for index in 0..count {
+            others.spawn(follow(proxy.address().to_owned(), index, tx.clone()));
         }
         std::thread::sleep(Duration::from_secs(2));
-        let (bytes, cpu) = (proxy.bytes(), seconds_of(CONTROL_THREADS));
-        std::thread::sleep(WATCHED);
-        let seconds = WATCHED.as_secs_f64();
+        let (bytes, cpu) = (proxy.bytes(), thread_cpu_seconds(CONTROL_THREAD_NAME));
+        std::thread::sleep(OBSERVATION_TIME);
+        let seconds = OBSERVATION_TIME.as_secs_f64();
         idle.add(count, (proxy.bytes() - bytes) as f64 / seconds);
-        time.add(count, (seconds_of(CONTROL_THREADS) - cpu) / seconds * 100.0);
+        time.add(count, (thread_cpu_seconds(CONTROL_THREAD_NAME) - cpu) / seconds * 100.0);
         let bytes = proxy.bytes();
         let mut slowest: f64 = 0.0;
-        for version in 2..2 + CHANGES {
+        for version in 2..2 + TABLE_CHANGES {
             let began = Instant::now();
             let mut next = table(4, version, 50);
             next.rows[0].weight = version as u32;
             control.write_table(&next)?;
-            let mut left = count;
-            while left > 0 {
-                left -= usize::from(rx.recv_timeout(Duration::from_secs(10))? == version);
+            let mut pending = count;
+            while pending > 0 {
+                pending -= usize::from(rx.recv_timeout(Duration::from_secs(10))? == version);
             }
             slowest = slowest.max(began.elapsed().as_secs_f64() * 1e3);
         }
-        change.add(count, (proxy.bytes() - bytes) as f64 / CHANGES as f64);
-        spread.add(count, slowest);
+        change.add(count, (proxy.bytes() - bytes) as f64 / TABLE_CHANGES as f64);
+        propagation.add(count, slowest);
         others.shutdown_background();
     }
-    Ok(vec![idle, change, spread, time])
+    Ok(vec![idle, change, propagation, time])
 }
 
-async fn follow(address: String, at: usize, tx: std::sync::mpsc::Sender<u64>) {
+async fn follow(address: String, index: usize, tx: std::sync::mpsc::Sender<u64>) {
     let Ok(client) = ControlClient::connect(&address).await else { return };
     let mut replica = Replica::default();
     loop {
         let req = PullRequest {
-            vm: format!("follower-{at}").into(),
+            vm: format!("follower-{index}").into(),
             have: replica.versions(),
             wait_ms: 3_000,
             demand: None,
@@ -464,17 +478,18 @@
     }
 }
 
-/// What servers at rest cost the process that holds them.
-fn measure_stewards() -> Result<Vec<Series>, Failure> {
-    let mut time = Series::new("processor time of a holder", "% of a core by servers held");
+/// Measures the CPU time and key-value calls that idle servers cost the process that holds their
+/// leases.
+fn measure_reconciliation() -> Result<Vec<Series>, BoxError> {
+    let mut time = Series::new("CPU time of a lease holder", "% of a core by servers held");
     let mut calls = Series::new("calls of the key-value service", "calls/s by servers held");
-    for count in STEWARDED {
-        let control = Control::start(count)?;
-        let (cpu, before) = (seconds_of(CONTROL_THREADS), control.fleet.kv.calls());
-        std::thread::sleep(WATCHED);
+    for count in SERVERS_HELD {
+        let control = ControlProcess::start(count)?;
+        let (cpu, before) = (thread_cpu_seconds(CONTROL_THREAD_NAME), control.fleet.kv.calls());
+        std::thread::sleep(OBSERVATION_TIME);
         let after = control.fleet.kv.calls();
-        let seconds = WATCHED.as_secs_f64();
-        time.add(count, (seconds_of(CONTROL_THREADS) - cpu) / seconds * 100.0);
+        let seconds = OBSERVATION_TIME.as_secs_f64();
+        time.add(count, (thread_cpu_seconds(CONTROL_THREAD_NAME) - cpu) / seconds * 100.0);
         let total =
             |calls: savoryport_standin::kv::Calls| calls.reads + calls.writes + calls.watches;
         calls.add(count, (total(after) - total(before)) as f64 / seconds);
--- a/savoryport_bench/src/main.rs
+++ b/savoryport_bench/src/main.rs
@@ -1,9 +1,10 @@
-//! Experiments: the policy in virtual time, the capacity slopes, the path's own cost.
+//! Runs the experiments: simulations of the placement and routing policies in virtual time, the
+//! growth of resource use with the size of the fleet, and the overhead of the request path.
 
 mod capacity;
-mod path;
+mod path_overhead;
 mod policy;
-mod processor;
+mod thread_cpu;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,8 +13,8 @@
 use lexopt::prelude::*;
 
 use self::policy::deployment::Deployment;
+use self::policy::policies::{BASELINES, Policy, SAVORYPORT};
 use self::policy::report::Results;
-use self::policy::rules::{BASELINES, Policy, SAVORYPORT};
 use self::policy::sim;
 use self::policy::workload::{STEADY_LOAD, Workload};
 
@@ -24,8 +25,8 @@
        savoryport-bench capacity
        savoryport-bench path";
 
-/// Threads that run experiments at once.
-const THREADS: usize = 5;
+/// The number of threads that run simulations at the same time.
+const WORKER_THREADS: usize = 5;
 
 #[derive(Debug, Default)]
 struct Options {
@@ -38,10 +39,10 @@
     plot: Option<PathBuf>,
 }
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
 fn main() -> ExitCode {
-    match parse().map_err(Failure::from).and_then(|options| run(&options)) {
+    match parse_options().map_err(BoxError::from).and_then(|options| run(&options)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("savoryport-bench: {err}\n\n{USAGE}");
@@ -50,7 +51,7 @@
     }
 }
 
-fn parse() -> Result<Options, lexopt::Error> {
+fn parse_options() -> Result<Options, lexopt::Error> {
     let mut options = Options { seeds: 20, ..Options::default() };
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
@@ -68,46 +69,48 @@
     Ok(options)
 }
 
-fn run(options: &Options) -> Result<(), Failure> {
+fn run(options: &Options) -> Result<(), BoxError> {
     match options.experiment.as_str() {
         "policy" => policy_experiment(options),
         "goodput" => goodput_experiment(options),
         "capacity" => capacity::run(),
-        "path" => path::run(),
+        "path" => path_overhead::run(),
         other => Err(format!("unknown experiment {other:?}").into()),
     }
 }
 
-fn policy_experiment(options: &Options) -> Result<(), Failure> {
+fn policy_experiment(options: &Options) -> Result<(), BoxError> {
     let deployments = Deployment::all();
     let policies: Vec<Policy> = if options.only_savoryport {
         vec![SAVORYPORT]
     } else {
         std::iter::once(SAVORYPORT).chain(BASELINES).collect()
     };
-    let wanted = |workload: &Workload| {
+    let is_selected = |workload: &Workload| {
         options.workload.as_deref().is_none_or(|name| name == workload.name())
     };
     let jobs: Vec<(usize, Workload, u64)> = (0..deployments.len())
-        .flat_map(|at| Workload::ALL.map(|workload| (at, workload)))
-        .filter(|(_, workload)| wanted(workload))
-        .flat_map(|(at, workload)| (0..options.seeds).map(move |seed| (at, workload, seed)))
+        .flat_map(|index| Workload::ALL.map(|workload| (index, workload)))
+        .filter(|(_, workload)| is_selected(workload))
+        .flat_map(|(index, workload)| (0..options.seeds).map(move |seed| (index, workload, seed)))
         .collect();
     let results = Mutex::new(Results::default());
-    let next = Mutex::new(jobs.into_iter());
+    let pending = Mutex::new(jobs.into_iter());
     std::thread::scope(|scope| {
-        for _ in 0..THREADS {
+        for _ in 0..WORKER_THREADS {
             scope.spawn(|| {
                 loop {
-                    let Some((at, workload, seed)) = next.lock().expect("no panic").next() else {
+                    let Some((index, workload, seed)) =
+                        pending.lock().expect("no thread panics while holding the lock").next()
+                    else {
                         return;
                     };
-                    run_seed(&deployments[at], workload, seed, &policies, &results);
+                    run_seed(&deployments[index], workload, seed, &policies, &results);
                 }
             });
         }
     });
-    print_results(options, &results.into_inner().expect("no panic"))
+    print_results(options, &results.into_inner().expect("no thread panics while holding the lock"))
 }
 
 fn run_seed(
@@ -120,8 +123,9 @@
     let trace = workload.trace(deployment, seed, 1.0);
     let run = |policy: &Policy| (policy.name, sim::run(deployment, workload, *policy, &trace));
     let scores: Vec<_> = policies.iter().map(run).collect();
-    // A seed's scores are added together, so that they stand at one place for every policy.
-    let mut results = results.lock().expect("no panic");
+    // The scores of one seed are added under one lock, so that they have the same index for every
+    // policy.
+    let mut results = results.lock().expect("no thread panics while holding the lock");
     let workloads = results.runs.entry(deployment.name.to_owned()).or_default();
     let by_policy = workloads.entry(workload.name().to_owned()).or_default();
     for (policy, score) in scores {
@@ -129,8 +133,9 @@
     }
 }
 
-/// Compares what is served at capacity and at three times of it.
-fn goodput_experiment(options: &Options) -> Result<(), Failure> {
+/// Compares the requests that meet their targets at an offered load of the fleet's capacity and of
+/// three times its capacity.
+fn goodput_experiment(options: &Options) -> Result<(), BoxError> {
     println!(
         "deployment, seed: attained at capacity, at three times capacity, ratio (target 0.95)"
     );
@@ -141,19 +146,19 @@
                 let score = sim::run(&deployment, Workload::Steady, SAVORYPORT, &trace);
                 score.attained.iter().sum::<u64>() as f64
             };
-            let (once, thrice) = (attained(1.0), attained(3.0));
-            println!("{}, {seed}: {once}, {thrice}, {:.3}", deployment.name, thrice / once);
+            let (single, triple) = (attained(1.0), attained(3.0));
+            println!("{}, {seed}: {single}, {triple}, {:.3}", deployment.name, triple / single);
         }
     }
     Ok(())
 }
 
-fn print_results(options: &Options, results: &Results) -> Result<(), Failure> {
+fn print_results(options: &Options, results: &Results) -> Result<(), BoxError> {
     println!("{}", results.table());
     println!("{}", results.target_table());
     if let Some(path) = &options.against {
         let earlier: Results = serde_json::from_str(&std::fs::read_to_string(path)?)?;
-        println!("{}", results.against(&earlier));
+        println!("{}", results.compare_with(&earlier));
     }
     if let Some(path) = &options.json {
         std::fs::write(path, serde_json::to_string(results)?)?;
--- a/savoryport_bench/src/path.rs
+++ b/savoryport_bench/src/path_overhead.rs
@@ -1,5 +1,5 @@
-//! What the request path itself costs: the same requests through an entry and straight to the
-//! stand-in engine, in the same run.
+//! Measures the overhead of the request path: sends the same requests through an entry and directly
+//! to the stand-in engine, in the same run.
 
 use std::io::{BufRead, BufReader};
 use std::time::{Duration, Instant};
@@ -14,44 +14,46 @@
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
 
-use crate::processor::seconds_of;
+use crate::thread_cpu::thread_cpu_seconds;
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
-/// Requests in flight.
-const IN_FLIGHT: [usize; 3] = [1, 16, 64];
+/// The numbers of concurrent requests that are measured.
+const CONCURRENCY_LEVELS: [usize; 3] = [1, 16, 64];
 
-/// How long each load lasts.
-const LOAD_TIME: Duration = Duration::from_secs(4);
+/// How long requests are sent at each concurrency.
+const LOAD_DURATION: Duration = Duration::from_secs(4);
 
-/// Tokens of each answer.
-const TOKENS: u32 = 4;
+/// The number of tokens in each answer.
+const TOKENS_PER_ANSWER: u32 = 4;
 
-/// The name of the entry's threads.
-const ENTRY_THREADS: &str = "entry";
+/// The name of the entry's threads, whose CPU time is measured.
+const ENTRY_THREAD_NAME: &str = "entry";
 
-/// The table of the run.
-const TABLE: &str = "\
+/// The table in force during the measurement.
+const TABLE_CSV: &str = "\
 kind,name,base,memory_mib,weight,rank,max_in_flight,first_token_ms,between_tokens_ms,min_copies,repeatable
 model,m,,100,1,urgent,256,5000,1000,1,yes
 ";
 
-/// One load's figures.
-struct Load {
+/// The results at one concurrency.
+struct LoadResult {
+    /// Times to the first token, in microseconds.
     first_token: Histogram<u64>,
     requests: u64,
+    /// The duration of the measurement, in seconds.
     seconds: f64,
 }
 
-/// Measures and prints.
-pub fn run() -> Result<(), Failure> {
+/// Measures the overhead at each concurrency and prints a Markdown table.
+pub fn run() -> Result<(), BoxError> {
     let fleet = start_fleet();
-    let settings = Settings::parse(&settings(&fleet).to_string())?.settings;
+    let settings = Settings::parse(&entry_settings(&fleet).to_string())?.settings;
     let cancel = CancellationToken::new();
-    let control = runtime("path-control")?;
+    let control = build_runtime("path-control")?;
     let running = savoryport::control::run(settings.clone(), cancel.clone());
     control.spawn(async { running.await.map_err(|err| eprintln!("control: {err}")) });
-    let entry = runtime(ENTRY_THREADS)?;
+    let entry = build_runtime(ENTRY_THREAD_NAME)?;
     let address = settings.entry_listen.clone();
     let running = savoryport::entry::run(settings, cancel.clone());
     entry.spawn(async { running.await.map_err(|err| eprintln!("entry: {err}")) });
@@ -61,20 +63,22 @@
         "| in flight | direct p50, p99 (us) | through the entry p50, p99 (us) | added p50, p99 (us) \
          | requests/s | requests/s a core of the entry |\n| --- | --- | --- | --- | --- | --- |"
     );
-    for in_flight in IN_FLIGHT {
-        let direct = load(&fleet.list.vms[1].address, in_flight);
-        let before = seconds_of(ENTRY_THREADS);
-        let through = load(&address, in_flight);
-        let spent = seconds_of(ENTRY_THREADS) - before;
-        let at = |load: &Load, quantile| load.first_token.value_at_quantile(quantile);
-        let (d50, d99) = (at(&direct, 0.5), at(&direct, 0.99));
-        let (t50, t99) = (at(&through, 0.5), at(&through, 0.99));
+    for in_flight in CONCURRENCY_LEVELS {
+        let direct = run_load(&fleet.list.vms[1].address, in_flight);
+        let cpu_before = thread_cpu_seconds(ENTRY_THREAD_NAME);
+        let through = run_load(&address, in_flight);
+        let cpu_seconds = thread_cpu_seconds(ENTRY_THREAD_NAME) - cpu_before;
+        let micros_at =
+            |result: &LoadResult, quantile| result.first_token.value_at_quantile(quantile);
+        let (direct_p50, direct_p99) = (micros_at(&direct, 0.5), micros_at(&direct, 0.99));
+        let (through_p50, through_p99) = (micros_at(&through, 0.5), micros_at(&through, 0.99));
         println!(
-            "| {in_flight} | {d50}, {d99} | {t50}, {t99} | {}, {} | {:.0} | {:.0} |",
-            t50 as i64 - d50 as i64,
-            t99 as i64 - d99 as i64,
+            "| {in_flight} | {direct_p50}, {direct_p99} | {through_p50}, {through_p99} | \
+             {}, {} | {:.0} | {:.0} |",
+            through_p50 as i64 - direct_p50 as i64,
+            through_p99 as i64 - direct_p99 as i64,
             through.requests as f64 / through.seconds,
-            through.requests as f64 / spent
+            through.requests as f64 / cpu_seconds
         );
     }
     cancel.cancel();
@@ -105,14 +109,14 @@
     })
 }
 
-fn settings(fleet: &LocalFleet) -> serde_json::Value {
+fn entry_settings(fleet: &LocalFleet) -> serde_json::Value {
     let mut settings = fleet.settings(fleet.entries()[0]);
     settings["initial_limit"] = json!(256);
     settings["log_level"] = json!("error");
     settings
 }
 
-fn runtime(name: &str) -> Result<tokio::runtime::Runtime, Failure> {
+fn build_runtime(name: &str) -> Result<tokio::runtime::Runtime, BoxError> {
     Ok(tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .thread_name(name)
@@ -120,63 +124,67 @@
         .build()?)
 }
 
-fn put_table(fleet: &LocalFleet) -> Result<(), Failure> {
-    let rows = savoryport_core::table::parse_csv(TABLE.as_bytes())?;
+fn put_table(fleet: &LocalFleet) -> Result<(), BoxError> {
+    let rows = savoryport_core::table::parse_csv(TABLE_CSV.as_bytes())?;
     let table = Table { version: 1, change_id: String::new(), rows };
     let kv = EtcdClient::new(fleet.kv.address(), Duration::from_secs(1));
     kv.put_if(savoryport::keys::TABLE, &table.encode()?, 0, None)?;
     Ok(())
 }
 
-fn wait_until_ready(address: &str) -> Result<(), Failure> {
+fn wait_until_ready(address: &str) -> Result<(), BoxError> {
     let agent = ureq::Agent::new_with_defaults();
     for _ in 0..200 {
-        if first_token(&agent, address).is_ok() {
+        if time_to_first_token(&agent, address).is_ok() {
             return Ok(());
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    Err("the entry does not serve".into())
+    Err("the entry served no request in 200 attempts".into())
 }
 
-fn load(address: &str, in_flight: usize) -> Load {
+fn run_load(address: &str, in_flight: usize) -> LoadResult {
     let started = Instant::now();
     let histograms: Vec<Histogram<u64>> = std::thread::scope(|scope| {
         let callers: Vec<_> = (0..in_flight)
             .map(|_| {
                 scope.spawn(|| {
                     let agent = ureq::Agent::new_with_defaults();
-                    let mut times = Histogram::new(3).expect("three digits");
-                    while started.elapsed() < LOAD_TIME {
-                        if let Ok(time) = first_token(&agent, address) {
-                            times.record(time.as_micros() as u64).expect("within bounds");
+                    let mut times =
+                        Histogram::new(3).expect("three significant digits are supported");
+                    while started.elapsed() < LOAD_DURATION {
+                        if let Ok(time) = time_to_first_token(&agent, address) {
+                            times
+                                .record(time.as_micros() as u64)
+                                .expect("the histogram resizes itself");
                         }
                     }
                     times
                 })
             })
             .collect();
-        callers.into_iter().map(|caller| caller.join().expect("no panic")).collect()
+        callers.into_iter().map(|caller| caller.join().expect("no caller thread panics")).collect()
     });
-    let mut first_token = Histogram::new(3).expect("three digits");
+    let mut first_token = Histogram::new(3).expect("three significant digits are supported");
     for times in histograms {
-        first_token.add(times).expect("the same bounds");
+        first_token.add(times).expect("the histograms have the same precision");
     }
     let seconds = started.elapsed().as_secs_f64();
-    Load { requests: first_token.len(), first_token, seconds }
+    LoadResult { requests: first_token.len(), first_token, seconds }
 }
 
-/// Sends one request, reads its whole answer, and returns the time to its first token.
-fn first_token(agent: &ureq::Agent, address: &str) -> Result<Duration, Failure> {
-    let body = json!({ "model": "m", "prompt": "hello", "max_tokens": TOKENS, "stream": true });
+/// Sends one request, reads its complete answer, and returns the time to its first token.
+fn time_to_first_token(agent: &ureq::Agent, address: &str) -> Result<Duration, BoxError> {
+    let body =
+        json!({ "model": "m", "prompt": "hello", "max_tokens": TOKENS_PER_ANSWER, "stream": true });
     let began = Instant::now();
     let answer = agent.post(format!("http://{address}/v1/completions")).send_json(body)?;
     let mut lines = BufReader::new(answer.into_body().into_reader()).lines();
-    let first = lines.next().ok_or("no first token")??;
+    let first = lines.next().ok_or("the answer has no first token")??;
     let time = began.elapsed();
     let last = lines.map_while(Result::ok).filter(|line| !line.is_empty()).last();
     match (first.starts_with("data: {"), last.as_deref()) {
         (true, Some("data: [DONE]")) => Ok(time),
-        other => Err(format!("not a whole answer: {other:?}").into()),
+        other => Err(format!("the answer is incomplete: {other:?}").into()),
     }
 }
--- a/savoryport_bench/src/policy/deployment.rs
+++ b/savoryport_bench/src/policy/deployment.rs
@@ -1,11 +1,11 @@
-//! The two deployments of the brief, at its sizes.
+//! The two example deployments that are simulated, at their full sizes.
 
 use std::time::Duration;
 
 use savoryport_core::fleet::{Vm, VmList};
 use savoryport_core::table::{Row, Table, parse_csv};
 
-/// A fleet with its table.
+/// A fleet and its table.
 pub struct Deployment {
     /// The name used in reports.
     pub name: &'static str,
@@ -15,16 +15,16 @@
     pub entries: Vec<Vm>,
     /// The table in force.
     pub table: Table,
-    /// Loads that the weight store begins each second.
+    /// The number of model loads that may start per second, which the weight store limits.
     pub loads_per_second: f64,
-    /// Loads at once at full speed.
-    pub full_speed_loads: u32,
+    /// The number of concurrent loads that the weight store serves at full speed.
+    pub max_concurrent_loads: u32,
 }
 
-/// Requests that one engine has in its batch.
+/// The largest number of requests in one engine's batch.
 pub const SLOTS: u32 = 16;
 
-/// The time that one load of a model takes at full speed.
+/// The time that one model load takes at full speed.
 pub const LOAD_TIME: Duration = Duration::from_secs(6);
 
 impl Deployment {
@@ -50,21 +50,21 @@
         table: &str,
         vms: &str,
         loads_per_second: f64,
-        full_speed_loads: u32,
+        max_concurrent_loads: u32,
     ) -> Self {
-        let rows = parse_csv(table.as_bytes()).expect("the example table is good");
-        let list: VmList = serde_json::from_str(vms).expect("the example list is good");
+        let rows = parse_csv(table.as_bytes()).expect("the example table is valid");
+        let list: VmList = serde_json::from_str(vms).expect("the example VM list is valid");
         Self {
             name,
             engines: list.engines().cloned().collect(),
             entries: list.entries().cloned().collect(),
             table: Table { version: 1, change_id: String::new(), rows },
             loads_per_second,
-            full_speed_loads,
+            max_concurrent_loads,
         }
     }
 
-    /// Returns the rows that engines answer.
+    /// Returns the table rows that engines serve.
     pub fn items(&self) -> Vec<&Row> {
         self.table.items().collect()
     }
--- a/savoryport_bench/src/policy/mod.rs
+++ b/savoryport_bench/src/policy/mod.rs
@@ -1,13 +1,14 @@
-//! Experiments on the policy, in virtual time: the same seed gives the same figures every time.
+//! Simulates placement and routing policies in virtual time: the same seed always gives the same
+//! results.
 //!
-//! Small fakes stand at the engines' interface; the decisions are those of `savoryport_core`, called
-//! as the daemons call them. `docs/MEASURES.md` explains the figures.
+//! The engines are small fakes. The decisions are made by `savoryport_core`, which is called as the
+//! daemons call it. `docs/MEASURES.md` explains the results.
 
-pub mod bound;
 pub mod deployment;
 pub mod engine;
+pub mod policies;
 pub mod report;
-pub mod rules;
 pub mod score;
 pub mod sim;
+pub mod upper_bound;
 pub mod workload;
--- a/savoryport_bench/src/policy/report.rs
+++ b/savoryport_bench/src/policy/report.rs
@@ -1,4 +1,4 @@
-//! Tables, JSON and plots of the runs.
+//! Formats the results of the runs as text tables, JSON and plots.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,27 +9,27 @@
 use serde::{Deserialize, Serialize};
 
 use super::score::Score;
-use super::sim::SHARES;
+use super::sim::GUARANTEED_SHARES;
 
-/// All runs of one invocation.
+/// The results of all runs of one invocation.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Results {
-    /// Scores by deployment, workload and policy, one a seed.
+    /// The scores by deployment, workload and policy, one per seed.
     pub runs: BTreeMap<String, BTreeMap<String, BTreeMap<String, Vec<Score>>>>,
 }
 
-/// One target of the issue, with what was reached.
+/// A performance target and the measured values.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
-    /// What is asked for.
-    pub what: String,
-    /// The bound.
+    /// A description of the measured value.
+    pub description: String,
+    /// The bound that the worst seed must meet.
     pub bound: f64,
     /// The median over the seeds.
     pub median: f64,
-    /// The worst seed.
+    /// The value of the worst seed.
     pub worst: f64,
-    /// Whether larger is better.
+    /// Whether larger values are better, so that the bound is a minimum.
     pub larger_is_better: bool,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Results {
-    /// Prints the medians of every policy on every workload.
+    /// Formats the medians of every policy under every workload.
     pub fn table(&self) -> String {
         let mut text = String::new();
         for (deployment, workloads) in &self.runs {
@@ -88,7 +88,7 @@
             .unwrap_or_default()
     }
 
-    /// Compares what was reached with the issue's targets.
+    /// Returns the performance targets with the measured values.
     pub fn targets(&self) -> Vec<(String, Target)> {
         let mut targets = Vec::new();
         for (deployment, workloads) in &self.runs {
@@ -106,22 +106,22 @@
         targets
     }
 
-    /// Prints the targets.
+    /// Formats the targets and whether each is met.
     pub fn target_table(&self) -> String {
         let mut text = String::new();
-        for (place, target) in self.targets() {
+        for (run, target) in self.targets() {
             let verdict = if target.passes() { "pass" } else { "FALLS SHORT" };
             let _ = writeln!(
                 text,
-                "{verdict:<12} {place:<30} {:<46} bound {:>6.3} median {:>6.3} worst {:>6.3}",
-                target.what, target.bound, target.median, target.worst
+                "{verdict:<12} {run:<30} {:<46} bound {:>6.3} median {:>6.3} worst {:>6.3}",
+                target.description, target.bound, target.median, target.worst
             );
         }
         text
     }
 
-    /// Prints the change of the medians against an earlier run.
-    pub fn against(&self, earlier: &Self) -> String {
+    /// Formats how the medians changed since an earlier run.
+    pub fn compare_with(&self, earlier: &Self) -> String {
         let mut text = String::new();
         for (deployment, workloads) in &self.runs {
             for workload in workloads.keys() {
@@ -135,7 +135,7 @@
                 };
                 let pair = |of: fn(&Score) -> f64| (figure(then, of), figure(now, of));
                 let (attain_then, attain_now) = pair(Score::attainment);
-                let (urgent_then, urgent_now) = pair(|score| score.rank(Rank::Urgent));
+                let (urgent_then, urgent_now) = pair(|score| score.rank_attainment(Rank::Urgent));
                 let (moves_then, moves_now) = pair(|score| score.moves as f64);
                 let _ = writeln!(
                     text,
@@ -147,13 +147,13 @@
         text
     }
 
-    /// Draws the attainment of every policy as bars, by workload.
+    /// Draws a bar chart of the attainment of every policy, by workload.
     ///
     /// # Errors
     ///
-    /// Returns an error where the file cannot be written.
+    /// Returns an error if the deployment has no results or the file cannot be written.
     pub fn plot(&self, deployment: &str, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
-        let workloads = self.runs.get(deployment).ok_or("no such deployment")?;
+        let workloads = self.runs.get(deployment).ok_or("the deployment has no results")?;
         let area = SVGBackend::new(path, (1_200, 500)).into_drawing_area();
         area.fill(&WHITE)?;
         let policies: Vec<&String> =
@@ -177,12 +177,12 @@
             })
             .draw()?;
         let width = 0.9 / policies.len().max(1) as f64;
-        for (place, policy) in policies.iter().enumerate() {
-            let color = Palette99::pick(place).to_rgba();
+        for (index, policy) in policies.iter().enumerate() {
+            let color = Palette99::pick(index).to_rgba();
             let bars = workloads.values().enumerate().filter_map(|(group, scores)| {
                 let scores = scores.get(*policy)?;
                 let height = median(&scores.iter().map(Score::attainment).collect::<Vec<_>>());
-                let left = group as f64 + 0.05 + place as f64 * width;
+                let left = group as f64 + 0.05 + index as f64 * width;
                 Some(Rectangle::new([(left, 0.0), (left + width * 0.9, height)], color.filled()))
             });
             chart.draw_series(bars)?.label(policy.as_str()).legend(move |(x, y)| {
@@ -205,44 +205,46 @@
     format!(
         "{workload:<14} {policy:<13} {:>7.3} {:>7.3} {:>7.3} {:>7.3} {:>7.3} {:>7.3} {:>6.0} {:>7.3}",
         figure(&Score::attainment),
-        figure(&Score::of_bound),
-        figure(&|score| score.rank(Rank::Urgent)),
-        figure(&|score| score.rank(Rank::Normal)),
-        figure(&|score| score.rank(Rank::Batch)),
+        figure(&Score::share_of_bound),
+        figure(&|score| score.rank_attainment(Rank::Urgent)),
+        figure(&|score| score.rank_attainment(Rank::Normal)),
+        figure(&|score| score.rank_attainment(Rank::Batch)),
         figure(&|score| score.refused as f64 / total(score)),
         figure(&|score| score.moves as f64),
         figure(&|score| score.crossed as f64 / total(score)),
     )
 }
 
-fn target(what: &str, bound: f64, scores: &[Score], of: impl Fn(&Score) -> f64) -> Target {
+fn target(description: &str, bound: f64, scores: &[Score], of: impl Fn(&Score) -> f64) -> Target {
     let values: Vec<f64> = scores.iter().map(of).collect();
     let (median, worst) = (median(&values), worst(&values, true));
-    Target { what: what.to_owned(), bound, median, worst, larger_is_better: true }
+    Target { description: description.to_owned(), bound, median, worst, larger_is_better: true }
 }
 
 fn workload_targets(workload: &str, scores: &[Score]) -> Vec<Target> {
     let mut targets =
-        vec![target("attainment as a share of the bound", 0.9, scores, Score::of_bound)];
+        vec![target("attainment as a share of the bound", 0.9, scores, Score::share_of_bound)];
     let is_urgent_flood = matches!(workload, "urgent-flood" | "both-floods");
     if is_urgent_flood {
         targets.push(target("urgent served, of what the fleet could", 1.0, scores, |score| {
             score.attained[0] as f64 / score.bound_urgent.max(1) as f64
         }));
     } else {
-        targets.push(target("urgent on time", 0.99, scores, |score| score.rank(Rank::Urgent)));
+        targets.push(target("urgent on time", 0.99, scores, |score| {
+            score.rank_attainment(Rank::Urgent)
+        }));
     }
     for rank in Rank::ALL {
         if scores.iter().any(|score| score.flood_demand[rank.index()] > 0.0) {
-            let what = format!("{rank} keeps its share in others' floods");
-            let kept = |score: &Score| score.kept_in_flood(rank, &SHARES);
-            targets.push(target(&what, 0.99, scores, kept));
+            let description = format!("{rank} keeps its share in others' floods");
+            let kept = |score: &Score| score.share_kept_in_flood(rank, &GUARANTEED_SHARES);
+            targets.push(target(&description, 0.99, scores, kept));
         }
     }
     if workload == "steady" {
         let values: Vec<f64> = scores.iter().map(|score| score.late_moves as f64).collect();
         targets.push(Target {
-            what: "moves in steady demand, second half".to_owned(),
+            description: "moves in steady demand, second half".to_owned(),
             bound: 0.0,
             median: median(&values),
             worst: worst(&values, false),
@@ -261,7 +263,7 @@
         })
         .collect();
     Target {
-        what: "attainment against the best baseline".to_owned(),
+        description: "attainment against the best baseline".to_owned(),
         bound: 1.3,
         median: median(&ratios),
         worst: worst(&ratios, true),
--- a/savoryport_bench/src/policy/sim/models.rs
+++ b/savoryport_bench/src/policy/sim/placement.rs
@@ -1,4 +1,4 @@
-//! Where models stand during a run: plans carried out, and what the baselines do instead.
+//! Places models on the simulated engines: by the plans, or as the baselines do.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,30 +7,35 @@
 use savoryport_core::placement::{PlacementInput, Plan, ServerCapacity, compute_plan};
 use savoryport_core::table::Row;
 
-use super::{Event, LRU_PRESSURE, MOVE_BUDGET, PLAN_PERIOD, Sim, WARM_UP};
+use super::{Event, LRU_COPY_THRESHOLD, MOVE_BUDGET, PLAN_PERIOD, Simulation, WARM_UP};
 use crate::policy::deployment::LOAD_TIME;
-use crate::policy::rules::{Placing, Routing};
-use crate::policy::workload::SECONDS;
+use crate::policy::policies::{Placement, Routing};
+use crate::policy::workload::TRACE_SECONDS;
 
-impl Sim<'_> {
-    pub(super) fn place_first(&mut self) {
-        let demand = self.first_demand();
+impl Simulation<'_> {
+    pub(super) fn place_initially(&mut self) {
+        let demand = self.initial_demand();
         let current = Plan::default();
-        self.plan = self.make_plan(&demand, &current, usize::MAX);
-        for (at, engine) in self.deployment.engines.iter().enumerate() {
+        self.plan = self.plan_for_demand(&demand, &current, usize::MAX);
+        for (index, engine) in self.deployment.engines.iter().enumerate() {
             let models = self.plan.servers.get(&engine.name).into_iter().flatten();
-            self.loaded[at] = models.map(|model| (model.clone(), true)).collect();
+            self.loaded[index] = models.map(|model| (model.clone(), true)).collect();
         }
-        self.tell_servers();
+        self.update_entries();
     }
 
-    /// Before anything is known of the demand, the table's weights stand for it.
-    fn first_demand(&self) -> HashMap<Name, f64> {
+    /// Returns the table's weights, which stand for the demand before any is observed.
+    fn initial_demand(&self) -> HashMap<Name, f64> {
         let models = self.items.iter().filter(|row| row.base.is_none());
         models.map(|row| (row.name.clone(), f64::from(row.weight))).collect()
     }
 
-    fn make_plan(&self, demand: &HashMap<Name, f64>, current: &Plan, move_budget: usize) -> Plan {
+    fn plan_for_demand(
+        &self,
+        demand: &HashMap<Name, f64>,
+        current: &Plan,
+        move_budget: usize,
+    ) -> Plan {
         let servers: Vec<ServerCapacity> = self
             .deployment
             .engines
@@ -55,21 +60,22 @@
     pub(super) fn on_plan(&mut self) {
         let observed: HashMap<Name, f64> =
             self.demand.drain().map(|(model, work)| (model, work / PLAN_PERIOD)).collect();
-        if self.policy.placing == Placing::Plan && !self.faults.platform_outage {
+        if self.policy.placement == Placement::Plan && !self.faults.platform_outage {
             let demand = self.estimator.observe(&observed, self.instant());
-            let next = self.make_plan(&demand, &self.plan, MOVE_BUDGET);
+            let next = self.plan_for_demand(&demand, &self.plan, MOVE_BUDGET);
             if next.version > self.plan.version {
                 self.plan = next;
-                self.follow_plan();
+                self.apply_plan();
             }
         }
-        if self.now < SECONDS {
+        if self.now < TRACE_SECONDS {
             self.schedule(self.now + PLAN_PERIOD, Event::Plan);
         }
     }
 
-    /// Frees what the plan no longer wants where its home answers, and loads what it wants.
-    fn follow_plan(&mut self) {
+    /// Loads the models that the plan wants on each engine, and unloads the others if they are loaded
+    /// at their home server.
+    fn apply_plan(&mut self) {
         for engine in 0..self.engines.len() {
             if self.engines[engine].is_lost {
                 continue;
@@ -83,7 +89,7 @@
                 .cloned()
                 .collect();
             for model in unwanted {
-                if self.home_answers(&model) {
+                if self.is_home_loaded(&model) {
                     self.loaded[engine].remove(&model);
                 }
             }
@@ -93,12 +99,12 @@
                 }
             }
         }
-        self.tell_servers();
+        self.update_entries();
     }
 
-    fn home_answers(&self, model: &Name) -> bool {
+    fn is_home_loaded(&self, model: &Name) -> bool {
         let Some(home) = self.plan.homes.get(model) else { return false };
-        let engine = self.engine_named(home);
+        let engine = self.engine_index(home);
         self.loaded[engine].get(model).copied().unwrap_or(false)
     }
 
@@ -109,44 +115,45 @@
     }
 
     fn start_loads(&mut self) {
-        while self.loads_under_way < self.deployment.full_speed_loads
+        while self.loads_in_progress < self.deployment.max_concurrent_loads
             && let Some((engine, model)) = self.loads_waiting.pop_front()
         {
-            self.loads_under_way += 1;
-            let begins = self.next_load_at.max(self.now);
-            self.next_load_at = begins + 1.0 / self.deployment.loads_per_second;
-            let at = begins + LOAD_TIME.as_secs_f64();
-            self.schedule(at, Event::Loaded { engine, model });
+            self.loads_in_progress += 1;
+            let starts_at = self.next_load_at.max(self.now);
+            self.next_load_at = starts_at + 1.0 / self.deployment.loads_per_second;
+            let ends_at = starts_at + LOAD_TIME.as_secs_f64();
+            self.schedule(ends_at, Event::Loaded { engine, model });
         }
     }
 
     pub(super) fn on_loaded(&mut self, engine: usize, model: &Name) {
-        self.loads_under_way -= 1;
+        self.loads_in_progress -= 1;
         self.start_loads();
         if let Some(is_loaded) = self.loaded[engine].get_mut(model) {
             *is_loaded = true;
             if self.now > WARM_UP {
                 self.score.moves += 1;
             }
-            if self.now > SECONDS / 2.0 {
+            if self.now > TRACE_SECONDS / 2.0 {
                 self.score.late_moves += 1;
             }
         }
-        self.tell_servers();
-        if self.policy.placing == Placing::Plan {
-            self.follow_plan();
+        self.update_entries();
+        if self.policy.placement == Placement::Plan {
+            self.apply_plan();
         }
     }
 
-    pub(super) fn add_copy_under_pressure(&mut self, model: &Name, engine: usize) {
-        if self.engines[engine].waiting.len() < LRU_PRESSURE {
+    pub(super) fn add_copy_if_overloaded(&mut self, model: &Name, engine: usize) {
+        if self.engines[engine].waiting.len() < LRU_COPY_THRESHOLD {
             return;
         }
         let size = |model: &Name| self.deployment.table.get(model).map_or(0, |row| row.memory_mib);
         let copies = |model: &Name| self.loaded.iter().filter(|l| l.contains_key(model)).count();
-        let open = (0..self.engines.len())
-            .filter(|at| !self.engines[*at].is_lost && !self.loaded[*at].contains_key(model));
-        let Some(target) = open.min_by_key(|at| self.in_flight[*at]) else { return };
+        let candidates = (0..self.engines.len()).filter(|index| {
+            !self.engines[*index].is_lost && !self.loaded[*index].contains_key(model)
+        });
+        let Some(target) = candidates.min_by_key(|index| self.in_flight[*index]) else { return };
         let mut victims: Vec<(f64, Name)> = self.loaded[target]
             .iter()
             .filter(|(other, is_loaded)| **is_loaded && copies(other) > 1)
@@ -173,7 +180,7 @@
         }
     }
 
-    pub(super) fn tell_servers(&mut self) {
+    pub(super) fn update_entries(&mut self) {
         if self.policy.routing != Routing::Dispatch {
             return;
         }
@@ -182,11 +189,11 @@
             .engines
             .iter()
             .enumerate()
-            .map(|(at, vm)| ServerInfo {
+            .map(|(index, vm)| ServerInfo {
                 name: vm.name.clone(),
                 region: vm.region.clone(),
-                loaded: self.answering(at),
-                leaving: self.engines[at].is_lost,
+                loaded: self.served_items(index),
+                leaving: self.engines[index].is_lost,
             })
             .collect();
         for entry in &mut self.entries {
@@ -194,7 +201,7 @@
         }
     }
 
-    fn answering(&self, engine: usize) -> BTreeSet<Name> {
+    fn served_items(&self, engine: usize) -> BTreeSet<Name> {
         let models = self.loaded[engine].iter().filter(|(_, is_loaded)| **is_loaded);
         let models: BTreeSet<&Name> = models.map(|(model, _)| model).collect();
         let belongs = |row: &&&Row| models.contains(row.base.as_ref().unwrap_or(&row.name));
