--- a/savoryport/src/node/callers.rs
+++ b/savoryport/src/node/callers.rs
@@ -20,21 +20,21 @@
 use super::proxy;
 use super::response::Body;
 
-/// The time to receive a request's headers, and for which a connection may be idle, until a
-/// configuration sets it.
+/// Timeout for receiving a request's headers and for an idle connection, before a configuration is
+/// known.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The maximum size of a request's headers in bytes, until a configuration sets it.
+/// The maximum size of a request's headers in bytes, before a configuration is known.
 const DEFAULT_MAX_HEADER_BYTES: usize = 64 * 1024;
 
 /// The smallest read buffer that hyper accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// The pause after a connection could not be accepted.
+/// The delay after accepting a connection failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The share of the file descriptors that callers' connections may use; the rest is for connections to
-/// servers, nodes and the store.
+/// The share of the file descriptors that callers' connections may use; the others are for
+/// connections to servers, nodes and the store.
 const CALLER_DESCRIPTOR_SHARE: f64 = 0.5;
 
 /// Binds a listener to an address.
@@ -46,7 +46,8 @@
     TcpListener::bind(address).await.map_err(|err| NodeError::Listen { address, err })
 }
 
-/// Accepts callers' connections until they are to be closed. A connection beyond the limit is dropped.
+/// Accepts callers' connections until [`NodeContext::connection_shutdown`] is cancelled. A
+/// connection beyond the limit is dropped.
 pub async fn accept(cx: Arc<NodeContext>, listener: TcpListener) {
     let open_connections = Arc::new(AtomicUsize::new(0));
     let max_connections = (cx.settings.file_descriptors as f64 * CALLER_DESCRIPTOR_SHARE) as usize;
--- a/savoryport/src/node/context.rs
+++ b/savoryport/src/node/context.rs
@@ -42,7 +42,7 @@
     pub routing: SharedRoutingState,
     /// What other nodes reported to this one.
     pub peer_reports: PeerReports,
-    /// When the store last answered.
+    /// Whether the store answers, and when its last outage ended.
     pub store_health: StoreHealth,
     /// This node's entry in the member list.
     pub member: Member,
@@ -70,8 +70,8 @@
         self.clock.now()
     }
 
-    /// Returns the copies on a failure domain's servers that are used by requests of this node and its
-    /// followers.
+    /// Returns the copies on a failure domain's servers that are used by requests of this node and
+    /// its followers.
     pub fn copies_in_domain(&self, domain: &str) -> Vec<CopyUse> {
         let view = self.fleet.view();
         let mut uses = self.routing.lock().copies_in_use();
--- a/savoryport/src/node/directory.rs
+++ b/savoryport/src/node/directory.rs
@@ -27,10 +27,10 @@
 /// The maximum number of addresses in one response.
 const MAX_ADDRESSES: usize = 64;
 
-/// The time to receive the headers of a request.
+/// Timeout for receiving the headers of a request.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The pause after a connection could not be accepted.
+/// The delay after accepting a connection failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves both the directory and the readiness check on one listener until the process ends.
--- a/savoryport/src/node/domain_controller.rs
+++ b/savoryport/src/node/domain_controller.rs
@@ -46,17 +46,17 @@
 impl DomainControllers {
     /// Returns whether this node leads a failure domain.
     pub fn leads(&self, domain: &str) -> bool {
-        self.0.lock().expect("no holder panics").contains_key(domain)
+        self.0.lock().expect("no thread panics while holding the lock").contains_key(domain)
     }
 
     /// Returns whether this node leads any failure domain.
     pub fn leads_any(&self) -> bool {
-        !self.0.lock().expect("no holder panics").is_empty()
+        !self.0.lock().expect("no thread panics while holding the lock").is_empty()
     }
 
     /// Returns all controllers.
     pub fn all(&self) -> Vec<Arc<DomainController>> {
-        self.0.lock().expect("no holder panics").values().cloned().collect()
+        self.0.lock().expect("no thread panics while holding the lock").values().cloned().collect()
     }
 
     /// Adds a controller and starts its placement task.
@@ -68,7 +68,7 @@
         let controller = Arc::new(controller);
         self.0
             .lock()
-            .expect("no holder panics")
+            .expect("no thread panics while holding the lock")
             .insert(controller.domain.clone(), controller.clone());
         let planner = run_planner(cx.clone(), controller.clone());
         tokio::spawn(controller.cancel.clone().run_until_cancelled_owned(planner));
@@ -78,12 +78,12 @@
     /// Removes a controller and stops its tasks; it sends no more orders.
     pub fn close(&self, controller: &DomainController) {
         controller.cancel.cancel();
-        controller.leadership.lock().expect("no holder panics").on_lost();
-        self.0.lock().expect("no holder panics").remove(&controller.domain);
+        controller.leadership.lock().expect("no thread panics while holding the lock").on_lost();
+        self.0.lock().expect("no thread panics while holding the lock").remove(&controller.domain);
     }
 
-    /// Loads an adapter at a server unless it is there, and returns once requests can use it or it
-    /// turns out to be unavailable.
+    /// Loads an adapter at a server unless the server holds it, and returns once requests can use
+    /// it or loading it has failed.
     pub async fn ensure_adapter(
         &self,
         cx: &Arc<NodeContext>,
@@ -92,8 +92,9 @@
         adapter: &Name,
     ) -> Availability {
         let domain = cx.fleet.view().servers.get(server).map(|known| known.failure_domain.clone());
-        let controller = domain
-            .and_then(|domain| self.0.lock().expect("no holder panics").get(&domain).cloned());
+        let controller = domain.and_then(|domain| {
+            self.0.lock().expect("no thread panics while holding the lock").get(&domain).cloned()
+        });
         let Some(controller) =
             controller.filter(|controller| controller.active_token(cx).is_some())
         else {
@@ -109,14 +110,21 @@
         }
     }
 
-    /// Returns the demand for each model in this node's failure domain, or nothing if this node does
-    /// not lead it.
+    /// Returns the demand for each model in this node's failure domain, or nothing if this node
+    /// does not lead it.
     pub fn demand(&self, cx: &NodeContext) -> Vec<(Name, f64)> {
-        let controllers = self.0.lock().expect("no holder panics");
+        let controllers = self.0.lock().expect("no thread panics while holding the lock");
         let Some(controller) = controllers.get(&cx.settings.failure_domain) else {
             return Vec::new();
         };
-        controller.planner.lock().expect("no holder panics").demand.demand().into_iter().collect()
+        controller
+            .planner
+            .lock()
+            .expect("no thread panics while holding the lock")
+            .demand
+            .demand()
+            .into_iter()
+            .collect()
     }
 
     /// Records that requests wait for a model, and returns how long a load of it takes.
@@ -131,7 +139,8 @@
         let Some(spec) = view.deployment().and_then(|known| known.model(service, model)) else {
             return Availability::Unavailable;
         };
-        let controller = self.0.lock().expect("no holder panics").get(domain).cloned();
+        let controller =
+            self.0.lock().expect("no thread panics while holding the lock").get(domain).cloned();
         let Some(controller) =
             controller.filter(|controller| controller.active_token(cx).is_some())
         else {
@@ -140,7 +149,7 @@
         controller
             .planner
             .lock()
-            .expect("no holder panics")
+            .expect("no thread panics while holding the lock")
             .wanted_models
             .insert(model.clone(), cx.now());
         let sources = view
@@ -171,12 +180,18 @@
         if cx.stopping.is_cancelled() || self.cancel.is_cancelled() {
             return None;
         }
-        self.leadership.lock().expect("no holder panics").active_token(cx.lease_clock.now())
+        self.leadership
+            .lock()
+            .expect("no thread panics while holding the lock")
+            .active_token(cx.lease_clock.now())
     }
 
     /// Records a renewal of the lease; `sent_at` is the time of its request by the lease clock.
     pub fn record_renewal(&self, sent_at: Instant) {
-        self.leadership.lock().expect("no holder panics").on_renewed(sent_at);
+        self.leadership
+            .lock()
+            .expect("no thread panics while holding the lock")
+            .on_renewed(sent_at);
     }
 
     /// Returns the id of the leadership's lease.
@@ -186,18 +201,18 @@
 
     /// Returns the handle of an engine.
     pub fn engine(&self, server: &str) -> Option<EngineHandle> {
-        self.engines.lock().expect("no holder panics").get(server).cloned()
+        self.engines.lock().expect("no thread panics while holding the lock").get(server).cloned()
     }
 
     /// Locks the handles of all engines.
     pub fn engines(&self) -> MutexGuard<'_, HashMap<Name, EngineHandle>> {
-        self.engines.lock().expect("no holder panics")
+        self.engines.lock().expect("no thread panics while holding the lock")
     }
 
-    /// Starts tasks for new engines, drops those of engines that are gone, and tells the others when
-    /// their server has restarted.
+    /// Starts tasks for new engines, drops those of engines that are gone, and notifies the others
+    /// when their server has restarted.
     pub fn update_engines(self: &Arc<Self>, cx: &Arc<NodeContext>, servers: &[Arc<BackendServer>]) {
-        let mut engines = self.engines.lock().expect("no holder panics");
+        let mut engines = self.engines.lock().expect("no thread panics while holding the lock");
         engines.retain(|id, _| servers.iter().any(|server| server.id == *id));
         for server in servers {
             if !engines.contains_key(&server.id) {
@@ -215,7 +230,7 @@
 impl DomainController {
     /// Returns the known contents and the move in progress of every engine, for the status page.
     pub fn engine_states(&self) -> Vec<(Name, EngineContents, Option<Move>)> {
-        let engines = self.engines.lock().expect("no holder panics");
+        let engines = self.engines.lock().expect("no thread panics while holding the lock");
         let known = engines.iter();
         known
             .map(|(id, engine)| (id.clone(), engine.contents().clone(), engine.current_move()))
--- a/savoryport/src/node/engine.rs
+++ b/savoryport/src/node/engine.rs
@@ -1,8 +1,8 @@
 //! The task that sends orders to one model engine, one at a time.
 //!
-//! An engine reports its contents and the number of orders that it has accepted since its start. Each
-//! order names the number that it expects, so that the engine refuses an order that was decided from
-//! outdated contents.
+//! An engine reports its contents and the number of orders that it has accepted since its start.
+//! Each order names the number that it expects, so that the engine refuses an order that was
+//! decided from outdated contents.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -28,19 +28,19 @@
 /// again, and the server executes only one of the two.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Interval between reports while a server is busy or its contents are unknown. Reports lag by a few
-/// hundred milliseconds, so polling more often returns nothing new.
+/// Interval between reports while a server is busy or its contents are unknown. Reports lag by a
+/// few hundred milliseconds, so polling more often returns nothing new.
 const REPORT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Number of attempts to read a server's contents, or to get an order accepted, before giving up for
-/// now.
+/// Number of attempts to read a server's contents, or to get an order accepted, before giving up
+/// for now.
 const MAX_ATTEMPTS: usize = 20;
 
 /// Number of attempts to load one adapter, each of which sends at most one order.
 const MAX_ADAPTER_ATTEMPTS: usize = 4;
 
-/// Time within which followers learn that a model is withdrawn; after it no new request reaches the
-/// model while it unloads.
+/// Minimum time from the withdrawal of a model to its unload. By then all followers know of the
+/// withdrawal and send the model no new requests.
 const WITHDRAWAL_DELAY: Duration = Duration::from_millis(300);
 
 /// How long an unload waits for the requests that still use a withdrawn model.
@@ -52,8 +52,8 @@
 /// Time that an unload takes when no request uses the model. The engine refuses a load before that.
 const UNLOAD_TIME: Duration = Duration::from_millis(40);
 
-/// A load that takes longer than this multiple of its expected duration is considered failed, and the
-/// contents of the server are read again.
+/// A load that takes longer than this multiple of its expected duration is considered failed, and
+/// the contents of the server are read again.
 const LOAD_TIMEOUT_FACTOR: u32 = 4;
 
 /// A command to the task of an engine.
@@ -107,21 +107,22 @@
     /// Queues a command; it is dropped if the task has ended.
     pub fn send(&self, command: EngineCommand) {
         if let EngineCommand::Move(planned) = &command {
-            *self.current_move.lock().expect("no holder panics") = Some(planned.clone());
+            *self.current_move.lock().expect("no thread panics while holding the lock") =
+                Some(planned.clone());
         }
         if self.commands.send(command).is_err() {
-            *self.current_move.lock().expect("no holder panics") = None;
+            *self.current_move.lock().expect("no thread panics while holding the lock") = None;
         }
     }
 
     /// Returns the move in progress.
     pub fn current_move(&self) -> Option<Move> {
-        self.current_move.lock().expect("no holder panics").clone()
+        self.current_move.lock().expect("no thread panics while holding the lock").clone()
     }
 
-    /// Locks what is known of the engine's contents.
+    /// Locks the known contents of the engine.
     pub fn contents(&self) -> MutexGuard<'_, EngineContents> {
-        self.contents.lock().expect("no holder panics")
+        self.contents.lock().expect("no thread panics while holding the lock")
     }
 }
 
@@ -183,7 +184,7 @@
     }
 
     fn contents(&self) -> MutexGuard<'_, EngineContents> {
-        self.contents.lock().expect("no holder panics")
+        self.contents.lock().expect("no thread panics while holding the lock")
     }
 
     /// Returns the time until the next check of the move in progress, if there is one.
@@ -222,7 +223,7 @@
     }
 
     fn end_move(&self) {
-        *self.current_move.lock().expect("no holder panics") = None;
+        *self.current_move.lock().expect("no thread panics while holding the lock") = None;
     }
 
     /// Returns the server and the specification of its engine class, while both exist.
@@ -258,7 +259,7 @@
     }
 
     /// Reads the contents of a restarted server. Without this, the models that it held before would
-    /// still count as copies, and nobody would load them again.
+    /// still count as copies, and would not be loaded again.
     async fn reload_after_restart(&mut self) {
         let now = self.cx.now();
         let is_recent = self.restart_checked_at.is_some_and(|at| now - at < REPORT_INTERVAL);
@@ -329,7 +330,7 @@
         let key = (model.clone(), adapter.clone());
         let ready_at = self.pending_adapters.get(&key).copied();
         let (cx, server, contents) = (self.cx.clone(), self.server.clone(), self.contents.clone());
-        // The reply is sent once the adapter can be used, but the next order does not wait for that.
+        // The reply is sent once the adapter can be used; the next order does not wait for that.
         let wait = ready_at.map(|at| at.saturating_duration_since(cx.now()));
         if outcome != Availability::Ready || wait.is_none_or(|wait| wait.is_zero()) {
             self.publish_residency();
@@ -504,7 +505,10 @@
     contents: &Mutex<EngineContents>,
     (model, adapter): &(Name, Name),
 ) {
-    let held = contents.lock().expect("no holder panics").holds_adapter(model, adapter);
+    let held = contents
+        .lock()
+        .expect("no thread panics while holding the lock")
+        .holds_adapter(model, adapter);
     if held {
         cx.fleet.update(|state| state.add_adapter(server, model, adapter));
     }
--- a/savoryport/src/node/event_splitter.rs
+++ b/savoryport/src/node/event_splitter.rs
@@ -1,8 +1,8 @@
 //! Splits a byte stream into complete server-sent events, so that a broken stream can be resumed at
 //! another server.
 //!
-//! The bytes of an event are forwarded unchanged. Only its boundary and its id are needed, so no parser
-//! of server-sent events is used.
+//! The bytes of an event are forwarded unchanged. Only its boundary and its id are needed, so no
+//! parser of server-sent events is used.
 
 use bytes::{Bytes, BytesMut};
 
--- a/savoryport/src/node/fleet.rs
+++ b/savoryport/src/node/fleet.rs
@@ -1,4 +1,5 @@
-//! What this node knows about the fleet, and the revisions from which updates to other nodes are built.
+//! What this node knows about the fleet, and the revisions from which updates to other nodes are
+//! built.
 //!
 //! Tasks that learn something update the state here; requests read immutable snapshots of it.
 
@@ -16,11 +17,11 @@
 /// A follower that has not reported for this long is no longer named to callers.
 const FOLLOWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A member known only through another node is removed when that node has not confirmed it for this
-/// long.
+/// A member known only from another node's replies is removed when that node has not confirmed it
+/// for this long.
 const RELAYED_MEMBER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Number of server removals kept for followers. A follower that is further behind gets the full list.
+/// Number of server removals kept for other nodes. A node further behind gets the full list.
 const MAX_REMOVALS: usize = 256;
 
 /// The models of a server as the leader that sends it orders knows them, which is newer than the
@@ -114,7 +115,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, FleetState> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no thread panics while holding the lock")
     }
 }
 
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Removes a member that reported that it is leaving.
+    /// Removes a member that is leaving.
     pub fn remove_member(&mut self, vm: &str) {
         if self.members.remove(vm).is_some() {
             self.members_revision += 1;
@@ -197,8 +198,8 @@
         self.members_revision += 1;
     }
 
-    /// Extends the lifetime of members that another node has reported before, in one failure domain or
-    /// in all.
+    /// Extends the lifetime of members that another node has reported before, in one failure domain
+    /// or in all.
     pub fn confirm_members(&mut self, domain: Option<&str>, now: Instant) {
         for (member, expires_at) in self.members.values_mut() {
             if domain.is_none_or(|domain| &*member.failure_domain == domain) {
@@ -245,8 +246,8 @@
         self.members.values().map(|(member, _)| member).chain([&self.own])
     }
 
-    /// Fills a reply with the changes since the position `have` of the asking node. With `domain`, only
-    /// the servers and members of that failure domain are included.
+    /// Fills a reply with the changes since the position `have` of the asking node. With `domain`,
+    /// only the servers and members of that failure domain are included.
     pub fn fill_reply(
         &self,
         have: SyncPosition,
@@ -289,8 +290,8 @@
         };
     }
 
-    /// Returns a number that changes whenever servers are taken from a leader. The changes in the store
-    /// since an earlier listing then no longer add up to the store's contents.
+    /// Returns a number that changes whenever servers are taken from a leader. The changes in the
+    /// store since an earlier listing then no longer add up to the store's contents.
     pub fn relayed_count(&self) -> u64 {
         self.relayed_count
     }
--- a/savoryport/src/node/in_flight.rs
+++ b/savoryport/src/node/in_flight.rs
@@ -11,7 +11,7 @@
 use super::rpc::PromptRecord;
 use super::server_selection::SelectedServer;
 
-/// A request that was sent to a server; it counts towards the server's load until this value is dropped.
+/// A request that was sent to a server, and counts towards its load until this value is dropped.
 pub struct InFlightRequest {
     cx: Arc<NodeContext>,
     server: Name,
@@ -73,7 +73,8 @@
         self.sent_at
     }
 
-    /// Records that the first token arrived, or the complete response of a service that is not an engine.
+    /// Records that the first token arrived, or the complete response of a service that is not an
+    /// engine.
     pub fn record_first_token(&mut self) {
         if std::mem::replace(&mut self.has_first_token, true) {
             return;
--- a/savoryport/src/node/leadership.rs
+++ b/savoryport/src/node/leadership.rs
@@ -1,7 +1,7 @@
 //! Acquires, renews and releases the leadership of failure domains in the store.
 //!
-//! Only the leader of a failure domain sends orders to the servers there. Leadership is a key in the
-//! store that is bound to a lease; the key and the log call it the "duty" of the domain.
+//! Only the leader of a failure domain sends orders to the servers there. Leadership is a key in
+//! the store that is bound to a lease; the key and the log call it the "duty" of the domain.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use super::store_reader::leader_key;
 use super::view::DomainLeader;
 
-/// Interval between checks for failure domains without a leader.
+/// Interval between checks for vacant failure domains, that is, those without a leader.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Upper bound of the random delay that spreads the attempts of competing nodes.
@@ -39,6 +39,7 @@
 /// The state of this node's attempts to become a leader.
 #[derive(Debug, Default)]
 struct Campaign {
+    /// Failure domains without a leader, with the time since when.
     vacant_since: HashMap<Name, Instant>,
     /// Failure domains known to have had a leader, which may have sent an order just before it lost
     /// the leadership.
@@ -53,7 +54,7 @@
         if !cx.store_health.is_available(cx.now()) {
             continue;
         }
-        for domain in campaign.winnable_domains(&cx) {
+        for domain in campaign.eligible_domains(&cx) {
             let delay = CAMPAIGN_DELAY.div_f64(cx.settings.cpu_share.max(MIN_CPU_SHARE));
             tokio::time::sleep(delay + CAMPAIGN_JITTER.mul_f64(cx.random_unit())).await;
             if cx.fleet.read(|state| state.leader(&domain).is_some()) {
@@ -68,7 +69,7 @@
 impl Campaign {
     /// Returns the vacant failure domains that this node may lead: its own, and as the leader of
     /// another domain also those that have been vacant for [`TAKEOVER_AFTER`].
-    fn winnable_domains(&mut self, cx: &NodeContext) -> Vec<Name> {
+    fn eligible_domains(&mut self, cx: &NodeContext) -> Vec<Name> {
         let (own, now) = (&cx.settings.failure_domain, cx.now());
         let view = cx.fleet.view();
         let Some(deployment) = view.deployment() else { return Vec::new() };
@@ -183,7 +184,7 @@
 async fn end_lease(cx: &NodeContext, lease: u64) {
     cx.metrics.store_calls.inc();
     if let Err(err) = cx.store.end_lease(lease).await {
-        // The lease expires anyway after its time to live.
+        // The lease then expires after its time to live.
         log::debug!(lease = lease, err:% = err; "lease not ended");
     }
 }
--- a/savoryport/src/node/mod.rs
+++ b/savoryport/src/node/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! A request passes through `callers`, `receive`, `proxy`, `server_selection`, `server_response`
 //! and `stream`. `store_reader` and `sync` maintain the node's view of the fleet, and `leadership`
-//! its leases. `docs/DESIGN.md` gives the reasons.
+//! the leases of the failure domains that it leads. `docs/DESIGN.md` explains the design.
 
 mod callers;
 mod clock;
@@ -70,7 +70,7 @@
 /// three times the TTL that the directory gave.
 const STALE_ADDRESS_PERIOD: Duration = Duration::from_secs(3);
 
-/// The part of `stop_within_s` that is kept for the rest of the stop after requests are drained.
+/// The part of `stop_within_s` that is reserved for the steps after requests are drained.
 const STOP_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// The number of nodes that are assumed to share the retry budget before any other node is known.
--- a/savoryport/src/node/peer_server.rs
+++ b/savoryport/src/node/peer_server.rs
@@ -22,7 +22,7 @@
     SyncRequest,
 };
 
-/// A report of another node is used for this long.
+/// How long a report of another node is used.
 const REPORT_LIFETIME: Duration = Duration::from_millis(1_000);
 
 /// Loads by server.
@@ -56,7 +56,7 @@
 
 impl PeerReports {
     fn lock(&self) -> MutexGuard<'_, ReportState> {
-        self.0.lock().expect("no holder panics")
+        self.0.lock().expect("no thread panics while holding the lock")
     }
 
     /// Stores the report of a follower.
@@ -137,8 +137,8 @@
         reports.flat_map(|report| report.copies.iter().cloned()).collect()
     }
 
-    /// Returns the summed loads of the followers other than `vm` and, if `with_domains` is set, of the
-    /// other failure domains.
+    /// Returns the summed loads of the followers other than `vm` and, if `with_domains` is set, of
+    /// the other failure domains.
     pub fn other_loads(&self, vm: Option<&str>, with_domains: bool, now: Instant) -> Loads {
         let mut state = self.lock();
         let is_fresh = |at: Instant| now.saturating_duration_since(at) < REPORT_LIFETIME;
@@ -263,11 +263,11 @@
     let Some(deployment) = view.deployment() else { return };
     let mut routing = cx.routing.lock();
     for PromptRecord { server, incarnation, keys } in prompts {
-        let service = view
+        let class = view
             .servers
             .get(server)
             .and_then(|known| deployment.services.get(&known.service)?.engine.as_ref());
-        if let Some(class) = service {
+        if let Some(class) = class {
             routing.prefixes.record(server, *incarnation, keys, class.cache_tokens, now);
         }
     }
@@ -288,7 +288,7 @@
         while let Some(connection) = listener.next().await {
             let Ok(transport) = connection else { continue };
             let requests = BaseChannel::with_defaults(transport).execute(server.clone().serve());
-            tokio::spawn(requests.for_each_concurrent(None, |answer| answer));
+            tokio::spawn(requests.for_each_concurrent(None, |response| response));
         }
     });
     Ok(())
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -34,7 +34,7 @@
 pub struct Planner {
     /// The average demand of the domain's callers for each model.
     pub demand: DemandAverage,
-    allowance: Option<LoadRateLimiter>,
+    load_limiter: Option<LoadRateLimiter>,
     /// Models that no server holds, with the time since when.
     missing_since: HashMap<Name, Instant>,
     /// Models that requests wait for, with the time of the latest request.
@@ -91,14 +91,14 @@
     servers: &[Arc<BackendServer>],
 ) {
     let now = cx.now();
-    let mut planner = controller.planner.lock().expect("no holder panics");
+    let mut planner = controller.planner.lock().expect("no thread panics while holding the lock");
     if controller.domain == cx.settings.failure_domain {
         let work = cx.peer_reports.take_work();
         planner.demand.observe(&work, now);
     }
     planner.wanted_models.retain(|_, at| now.saturating_duration_since(*at) < REQUEST_LIFETIME);
     let holders = holders_by_model(view, service);
-    let missing = planner.missing(view, service, class, &controller.domain, &holders, now);
+    let missing = planner.missing_models(view, service, class, &controller.domain, &holders, now);
     let demand = planner.demand_with_waiting();
     let neighbours = neighbours(cx, view, service, &controller.domain);
     let round = PlanningRound {
@@ -137,7 +137,7 @@
 
 impl Planner {
     /// Returns the models that no server holds and that this domain has to load.
-    fn missing(
+    fn missing_models(
         &mut self,
         view: &FleetView,
         service: &Name,
@@ -151,11 +151,11 @@
         let mut missing = BTreeMap::new();
         for model in class.models.keys().filter(|model| !holders.contains_key(*model)) {
             let since = *self.missing_since.entry(model.clone()).or_insert(now);
-            let is_owned =
-                restoring_domain(model, domains.iter()).is_some_and(|owner| &**owner == domain);
+            let restores_model = restoring_domain(model, domains.iter())
+                .is_some_and(|restoring| &**restoring == domain);
             if self.wanted_models.contains_key(model) {
                 missing.insert(model.clone(), MissingModel::Requested);
-            } else if is_owned && now.saturating_duration_since(since) >= RESTORE_AFTER {
+            } else if restores_model && now.saturating_duration_since(since) >= RESTORE_AFTER {
                 missing.insert(model.clone(), MissingModel::NotRequested);
             }
         }
@@ -163,7 +163,7 @@
     }
 
     fn demand_with_waiting(&self) -> HashMap<Name, f64> {
-        /// The demand, in servers' worth, that waiting requests stand for: enough for a first copy.
+        /// Minimum demand, in servers, of a model that requests wait for: enough for a first copy.
         const WAITING_DEMAND: f64 = 0.1;
         let mut demand = self.demand.demand();
         for model in self.wanted_models.keys() {
@@ -183,14 +183,14 @@
         let now = cx.now();
         let window = Duration::from_secs_f64(cx.settings.load_window_s);
         let domains = cx.settings.failure_domains.len();
-        let allowance = self.allowance.get_or_insert_with(|| {
-            let mut allowance = LoadRateLimiter::new(class.loads_per_s, window, domains);
+        let load_limiter = self.load_limiter.get_or_insert_with(|| {
+            let mut limiter = LoadRateLimiter::new(class.loads_per_s, window, domains);
             if !cx.settings.first_start {
-                allowance.assume_exhausted(now);
+                limiter.assume_exhausted(now);
             }
-            allowance
+            limiter
         });
-        let store_load_allowed = allowance.may_start_load(now);
+        let store_load_allowed = load_limiter.may_start_load(now);
         let no_loads = HashMap::new();
         let options: Vec<PlacementServer<'_>> = servers
             .iter()
@@ -237,9 +237,9 @@
 
     fn record_move(&mut self, chosen: &Move, now: Instant) {
         if chosen.source == WeightSource::Store
-            && let Some(allowance) = &mut self.allowance
+            && let Some(load_limiter) = &mut self.load_limiter
         {
-            allowance.record_load(now);
+            load_limiter.record_load(now);
         }
         let loaded = self.loaded_at.entry(chosen.server.clone()).or_default();
         loaded.insert(chosen.load.clone(), now);
--- a/savoryport/src/node/prompt_log.rs
+++ b/savoryport/src/node/prompt_log.rs
@@ -1,10 +1,10 @@
-//! The prompts that servers have recently read, in the order in which this domain leader learned of
-//! them.
+//! The prompts that were recently sent to servers, in the order in which this domain leader learned
+//! of them.
 //!
-//! Load pattern: many prompts share few prefixes. A node that does not know where a prefix is cached
-//! sends it to a server that has to read it again, so every node is told of every shared prefix. The
-//! part that belongs to one request is only told within its failure domain, because the bandwidth
-//! between regions is low.
+//! Load pattern: many prompts share few prefixes. A node that does not know where a prefix is
+//! cached sends the prompt to a server that has to prefill it again, so every shared prefix is
+//! announced to every node. The part that belongs to one request is sent only within its failure
+//! domain, because the bandwidth between regions is low.
 
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
@@ -17,8 +17,8 @@
 /// The number of records that are kept; a node that is further behind misses some.
 const MAX_RECORDS: usize = 1_024;
 
-/// A shared prefix is announced to other failure domains again after this time, so that it stays among
-/// the recently used ones there.
+/// A shared prefix is announced to other failure domains again after this time, so that it stays
+/// among the recently used ones there.
 const ANNOUNCE_PERIOD: Duration = Duration::from_secs(5);
 
 /// The recent prompts known to a domain leader, numbered from 1.
@@ -57,15 +57,15 @@
         }
     }
 
-    /// Returns the number of the last record, and the records after number `position` that `vm` did not
-    /// send itself.
+    /// Returns the number of the last record, and the records after number `position` that `vm` did
+    /// not send itself.
     pub fn records_since(&self, position: u64, vm: &str) -> (u64, Vec<PromptRecord>) {
         let entries = self.entries_after(position).filter(|entry| entry.vm.as_deref() != Some(vm));
         (self.last_number, entries.map(|entry| entry.record.clone()).collect())
     }
 
-    /// Returns the number of the last record, and the shared prefixes to announce to another failure
-    /// domain that were added after number `position`.
+    /// Returns the number of the last record, and the shared prefixes to announce to another
+    /// failure domain that were added after number `position`.
     pub fn shared_prefixes_since(&self, position: u64) -> (u64, Vec<PromptRecord>) {
         let entries = self.entries_after(position).filter(|entry| entry.is_announced);
         let shared = entries.map(|LogEntry { record, .. }| PromptRecord {
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Returns whether the record's shared prefix is due to be announced to other failure domains, and
-    /// records the time if it is.
+    /// Returns whether the record's shared prefix is due to be announced to other failure domains,
+    /// and records the time if it is.
     fn should_announce(&mut self, record: &PromptRecord, now: Instant) -> bool {
         let Some((key, _)) = record.shared_keys().last() else { return false };
         let is_recent = |at: &Instant| now.saturating_duration_since(*at) < ANNOUNCE_PERIOD;
--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -23,26 +23,26 @@
 use super::server_selection::SelectedServer;
 use super::stream;
 
-/// A non-idempotent request reuses a pooled connection only if it was in use this recently. If the server
-/// closes an idle connection just as the request is sent, whether the request ran is unknown, which a new
-/// connection avoids.
+/// A non-idempotent request reuses a pooled connection only if it was in use this recently. If the
+/// server closes an idle connection just as the request is sent, whether the request ran is
+/// unknown, which a new connection avoids.
 const MAX_IDLE_FOR_NON_IDEMPOTENT: Duration = Duration::from_millis(1_500);
 
-/// The number of failed connection attempts after which a request is not tried again.
+/// The number of failed connection attempts after which a request is not sent to further servers.
 const MAX_UNREACHABLE: u32 = 4;
 
-/// A repeatable request without a response after this many times the expected latency is sent to another
-/// server, if its server sends nothing to any request of this node.
+/// A repeatable request without a response after this many times the expected latency is sent to
+/// another server, if its server sends nothing to any request of this node.
 const STALL_FACTOR: u32 = 4;
 
 /// The minimum time to wait for a response before a repeatable request is sent to another server.
 const MIN_STALL: Duration = Duration::from_millis(250);
 
-/// The share of the target latency after which another server could not respond on time any more.
+/// The share of the target latency after which another server could no longer respond on time.
 const STALL_TARGET_SHARE: f64 = 0.6;
 
-/// The share of the remaining time for which a repeatable request waits for its server before it is sent to
-/// another one.
+/// The share of the remaining time for which a repeatable request waits for its server before it is
+/// sent to another one.
 const FIRST_SERVER_WAIT_SHARE: f64 = 0.5;
 
 /// A request of a caller that is being proxied.
@@ -54,7 +54,8 @@
     pub(super) head: RequestHead,
     pub(super) prefix_keys: PrefixKeys,
     pub(super) arrived_at: Instant,
-    /// Since when some server could have taken the request: its arrival, or when its model was loaded.
+    /// Since when some server could have taken the request: its arrival, or when its model was
+    /// loaded.
     pub(super) queued_since: Instant,
     /// When the last chunk of a stream arrived.
     pub(super) last_chunk_at: Option<Instant>,
@@ -148,7 +149,8 @@
         self.deadline.saturating_duration_since(self.cx.now())
     }
 
-    /// Returns whether the request may be sent to one more server; a retry is taken from the retry budget.
+    /// Returns whether the request may be sent to one more server; a retry is taken from the retry
+    /// budget.
     pub(super) fn reserve_attempt(&self) -> bool {
         let attempts = self.attempted_servers.len() as u32;
         let mut routing = self.cx.routing.lock();
@@ -176,8 +178,8 @@
         })
     }
 
-    /// Returns the refusal for a cause. If the request may have run, its status never promises that it did
-    /// not.
+    /// Returns the refusal for a cause. If the request may have run, its status never promises that
+    /// it did not.
     fn refusal_for(&self, cause: RefusalCause) -> Refusal {
         /// The time after which a caller may retry a request that did not run.
         const RETRY_AFTER: Duration = Duration::from_millis(250);
@@ -347,10 +349,11 @@
         SendResult::Failed
     }
 
-    /// Waits for the start of a response; returns `None` if the request should leave the server. A request
-    /// that may be sent to another server leaves early if its server sends nothing to any request of this
-    /// node. It waits longer for a server that is only slow, since a second prefill would slow down all
-    /// other requests further. It stays if no other server would take it.
+    /// Waits for the start of a response; returns `None` if the time is up or the request should be
+    /// sent to another server instead. A request that may be retried abandons its server early if
+    /// the server sends nothing to any request of this node. It waits longer for a server that is
+    /// only slow, since a second prefill would slow down all other requests further, and it keeps
+    /// waiting if no other server would take it.
     async fn await_response_start<T>(
         &self,
         selected: &SelectedServer,
@@ -433,8 +436,8 @@
     Broken,
 }
 
-/// Waits for the first bytes of a stream. The headers are not forwarded before them, since until then the
-/// request can still be sent to another server if the stream breaks.
+/// Waits for the first bytes of a stream. The headers are not forwarded before them, since until
+/// then the request can still be sent to another server if the stream breaks.
 async fn read_first_frame(route: &Route, response: &mut Response<Incoming>) -> FirstFrame {
     if !route.kind.is_stream() || !response.status().is_success() {
         return FirstFrame::NoData;
--- a/savoryport/src/node/response.rs
+++ b/savoryport/src/node/response.rs
@@ -11,8 +11,8 @@
 use savoryport_adapter::callers::set_retry_after;
 use thiserror::Error;
 
-/// Ends a response body that is incomplete: the connection to the caller is closed without the end of
-/// the body.
+/// Ends a response body that is incomplete: the connection to the caller is closed without the end
+/// of the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the response is incomplete")]
 pub struct IncompleteResponse;
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Returns the status for the caller. A status that promises that the request did not run is used
-    /// only if the request was sent to no server, or the server itself refused it.
+    /// Returns the status for the caller. A status that promises that the request did not run is
+    /// used only if the request was sent to no server, or the server itself refused it.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoConfig
--- a/savoryport/src/node/routing_state.rs
+++ b/savoryport/src/node/routing_state.rs
@@ -14,8 +14,8 @@
 
 use super::rpc::{CopyUse, PromptRecord};
 
-/// The most prompt records that are kept for the next sync; further ones are dropped. Records that wait
-/// longer are of little use by then.
+/// The maximum number of prompt records kept for the next sync; further ones are dropped. Records
+/// that have to wait so long are of little use once they are sent.
 const MAX_NEW_PROMPTS: usize = 512;
 
 /// Identifies a copy of a model: the server, the model, and the adapter if requests name one.
@@ -30,7 +30,7 @@
     pub prefixes: PrefixCacheIndex,
     /// Failure rates and pauses by server.
     pub health: HealthTracker,
-    /// Running averages of how fast models and servers work.
+    /// Running averages of the speeds of models and servers.
     pub speeds: SpeedEstimates,
     /// The retries that may still be sent.
     pub retry_budget: RetryBudget,
--- a/savoryport/src/node/server_response.rs
+++ b/savoryport/src/node/server_response.rs
@@ -1,5 +1,5 @@
-//! Decides what a server's response means for the request: it is forwarded to the caller, or the request
-//! is tried at another server.
+//! Decides what a server's response means for the request: it is forwarded to the caller, or the
+//! request is tried at another server.
 
 use std::time::Duration;
 
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Records that the server does not hold the model or is full, so that requests avoid it for a while.
+    /// Records that the server does not hold the model or is full, so that requests avoid it for a
+    /// while.
     fn learn_from_refusal(&self, status: StatusCode, selected: &SelectedServer) {
         let (server, now) = (&selected.server, self.cx.now());
         let mut routing = self.cx.routing.lock();
@@ -104,8 +105,8 @@
         let Some(body) = body else { return Attempt::TryNext };
         self.cx.request_pool.keep(connection, keep_alive(&headers));
         strip_connection_headers(&mut headers);
-        // The caller would take this status as a promise that the request did not run, which the server
-        // did not state.
+        // The caller would take this status as a promise that the request did not run, which the
+        // server did not state.
         if promises_not_run(status) && !self.route.kind.is_repeatable() {
             return Attempt::TryNext;
         }
@@ -119,7 +120,8 @@
     }
 }
 
-/// Reads a complete body; returns `None` if it was incomplete, too large or took longer than `timeout`.
+/// Reads a complete body; returns `None` if it was incomplete, too large or took longer than
+/// `timeout`.
 async fn collect_body(body: Incoming, timeout: Duration) -> Option<Bytes> {
     let limited = Limited::new(body, MAX_RESPONSE_BYTES);
     let collected = tokio::time::timeout(timeout, limited.collect()).await.ok()?.ok()?;
--- a/savoryport/src/node/server_selection.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -1,4 +1,4 @@
-//! Selects the server for a request, and asks for the adapter or model to be loaded if it is missing.
+//! Selects the server for a request, and asks for a missing adapter or model to be loaded.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,17 +29,18 @@
 /// The timeout of a request to another node to load an adapter or a model.
 const LOAD_REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How much longer than its expected duration a load of a model is waited for.
+/// How long a request waits for the load of a model beyond its expected duration.
 const LOAD_GRACE: Duration = Duration::from_millis(800);
 
-/// The share of the remaining time that a load of a model may take.
+/// The share of a request's remaining time that the load of its model may take.
 const LOAD_SHARE: f64 = 0.6;
 
-/// The part of the server's time that one generated token takes, in milliseconds. The whole batch shares
-/// that time.
+/// The part of the server's time that one generated token takes, in milliseconds. The whole batch
+/// shares that time.
 const MS_PER_OUTPUT_TOKEN: f64 = 0.05;
 
-/// The time after which a caller may retry if servers or the leaders of their failure domains are missing.
+/// The time after which a caller may retry if servers or the leaders of their failure domains are
+/// missing.
 const RETRY_AFTER: Duration = Duration::from_millis(600);
 
 /// The server that a request is sent to.
@@ -71,10 +72,10 @@
         let view = self.cx.fleet.view();
         let candidates = self.candidates(&view);
         let mut routing = self.cx.routing.lock();
-        let demanded = self.demanded();
+        let request = self.selection_request();
         let prefill = choose_server(
             candidates.iter().map(|(candidate, _)| *candidate),
-            &demanded,
+            &request,
             &routing.selection_context(self.arrived_at),
         )
         .map_or_else(
@@ -130,8 +131,8 @@
         self.head.generation.as_ref().is_some_and(|generation| generation.adapter.is_some())
     }
 
-    /// Returns whether a request waits for room for its adapter if no server has any. Room becomes free
-    /// within a second or two as streams end.
+    /// Returns whether a request waits for room for its adapter if no server has any. Room becomes
+    /// free within a second or two as streams end.
     fn may_wait_for_room(&self) -> bool {
         let elapsed = self.cx.now() - self.arrived_at;
         let total = self.deadline - self.arrived_at;
@@ -144,7 +145,7 @@
         Refusal::with_retry_after(cause, retry_after(RETRY_AFTER, self.cx.random_unit()))
     }
 
-    fn demanded(&self) -> SelectionRequest<'_> {
+    fn selection_request(&self) -> SelectionRequest<'_> {
         SelectionRequest {
             generation: self.head.generation.as_ref(),
             keys: &self.prefix_keys,
@@ -154,13 +155,14 @@
         }
     }
 
-    /// Returns the properties that the service's engines share; `None` if its servers are not engines.
+    /// Returns the properties that the service's engines share; `None` if its servers are not
+    /// engines.
     pub(super) fn engine_class(&self) -> Option<&EngineClass> {
         self.deployment.services.get(&self.service)?.engine.as_ref()
     }
 
-    /// Returns whether another server would take the request now. If none would, leaving a server that is
-    /// slow or sends nothing only ends the request.
+    /// Returns whether another server would take the request now. If none would, abandoning a slow
+    /// or silent server only ends the request.
     pub(super) fn has_alternative(&self) -> bool {
         let has_retry = self.cx.routing.lock().retry_budget.can_retry(&self.service);
         has_retry && matches!(self.try_select(&[]), Selection::Selected(..))
@@ -187,16 +189,16 @@
         }
         let now = self.cx.now();
         let routing = self.cx.routing.lock();
-        let selection = routing.selection_context(now);
-        let demanded = self.demanded();
+        let context = routing.selection_context(now);
+        let request = self.selection_request();
         let options = candidates.iter().map(|(candidate, _)| *candidate);
-        let Some(choice) = choose_server(options, &demanded, &selection) else {
+        let Some(choice) = choose_server(options, &request, &context) else {
             return Selection::NoServer;
         };
-        // The limits on waiting apply to the first event. A caller that has received part of a stream waits
-        // for the rest.
+        // The limits on waiting apply to the first event. A caller that has received part of a
+        // stream waits for the rest.
         let has_started = self.time_to_first_token.is_some();
-        let prospect = AdmissionInput {
+        let input = AdmissionInput {
             rank: self.route.rank,
             expected_latency: choice.expected_latency,
             elapsed: if has_started { Duration::ZERO } else { now - self.arrived_at },
@@ -204,7 +206,7 @@
             target_latency: self.route.target_latency,
             time_left: self.remaining_time(),
         };
-        let priority = match decide_admission(&prospect, self.cx.random_unit()) {
+        let priority = match decide_admission(&input, self.cx.random_unit()) {
             AdmissionDecision::Admit { priority } => priority,
             AdmissionDecision::Refuse { retry_after } => {
                 return Selection::Overload {
@@ -247,7 +249,7 @@
         let (copy_name, now) = (self.copy_name(), self.cx.now());
         let routing = self.cx.routing.lock();
         let (own_loads, health) = (routing.loads.own(), &routing.health);
-        let is_denied = |server: &BackendServer| {
+        let lacks_copy = |server: &BackendServer| {
             copy_name.as_ref().is_some_and(|copy| {
                 health.is_not_resident(&server.id, copy, server.incarnation, now)
             })
@@ -257,7 +259,7 @@
                 !self.attempted_servers.contains(&server.id)
                     && !self.excluded_servers.contains(&server.id)
             })
-            .filter(|server| !is_denied(server))
+            .filter(|server| !lacks_copy(server))
             .filter(|server| !health.is_full(&server.id, self.route.rank, now))
             .filter(|server| {
                 own_loads.get(&server.id).is_none_or(|load| load.running < max_running)
@@ -282,7 +284,7 @@
         }
     }
 
-    /// Requests that an adapter is loaded at a server; returns whether it can be used.
+    /// Has the adapter of the request loaded at a server; returns whether it can be used.
     async fn load_adapter(&self, server: &BackendServer) -> bool {
         let Some(generation) = &self.head.generation else { return false };
         let Some(adapter) = &generation.adapter else { return true };
@@ -303,7 +305,8 @@
         matches!(tokio::time::timeout(timeout, load_request).await, Ok(Ok(Availability::Ready)))
     }
 
-    /// Waits until some server holds the model, if that is expected to be soon enough.
+    /// Has the model of the request loaded, and waits until a server holds it if that is expected
+    /// to be soon enough.
     async fn await_model(&self) -> Result<(), Refusal> {
         let Some(generation) = &self.head.generation else { return Ok(()) };
         let Some(expected_load) = self.request_model_load(&generation.model).await else {
@@ -328,8 +331,8 @@
         }
     }
 
-    /// Asks the leader of the model's failure domain to load it; returns how long that will take, or `None`
-    /// if it cannot be loaded now.
+    /// Asks the leader of the model's failure domain to load it; returns how long that will take,
+    /// or `None` if it cannot be loaded now.
     async fn request_model_load(&self, model: &Name) -> Option<Duration> {
         let cx = &self.cx;
         let domains = domains_with_ready_servers(&cx.fleet.view(), &self.service);
--- a/savoryport/src/node/store_reader.rs
+++ b/savoryport/src/node/store_reader.rs
@@ -47,8 +47,9 @@
 impl StoreHealth {
     /// Records an answer. If it ends an outage, returns how long calls had failed.
     pub fn record_answer(&self, now: Instant) -> Option<Duration> {
-        let mut times = self.0.lock().expect("no holder panics");
-        // Counted from the first failed call, since a follower that makes no calls observes no outage.
+        let mut times = self.0.lock().expect("no thread panics while holding the lock");
+        // Counted from the first failed call, since a follower that makes no calls observes no
+        // outage.
         let failing = times.failing_since.take().map(|at| now.saturating_duration_since(at));
         let outage = failing.filter(|silence| *silence > UNAVAILABLE_AFTER);
         if outage.is_some() {
@@ -60,18 +61,23 @@
 
     /// Records a failed call.
     pub fn record_failure(&self, now: Instant) {
-        self.0.lock().expect("no holder panics").failing_since.get_or_insert(now);
+        self.0
+            .lock()
+            .expect("no thread panics while holding the lock")
+            .failing_since
+            .get_or_insert(now);
     }
 
     /// Returns whether the store has answered recently.
     pub fn is_available(&self, now: Instant) -> bool {
-        let last_answer = self.0.lock().expect("no holder panics").last_answer;
+        let last_answer =
+            self.0.lock().expect("no thread panics while holding the lock").last_answer;
         last_answer.is_some_and(|at| now.saturating_duration_since(at) <= UNAVAILABLE_AFTER)
     }
 
     /// Returns whether an outage ended recently.
     pub fn is_recovering(&self, now: Instant) -> bool {
-        let ended = self.0.lock().expect("no holder panics").outage_ended;
+        let ended = self.0.lock().expect("no thread panics while holding the lock").outage_ended;
         ended.is_some_and(|at| now.saturating_duration_since(at) < RECOVERY_PERIOD)
     }
 }
--- a/savoryport/src/node/stream.rs
+++ b/savoryport/src/node/stream.rs
@@ -20,8 +20,9 @@
 /// The number of chunks that are buffered for a caller that reads slowly.
 const CALLER_BUFFER_CHUNKS: usize = 16;
 
-/// A resumable stream is resumed at another server after this time without data, if its server sends
-/// nothing to any other request of this node either. Callers disconnect after two seconds at the earliest.
+/// A resumable stream is resumed at another server after this time without data, if its server
+/// sends nothing to any other request of this node either. Callers disconnect after two seconds at
+/// the earliest.
 const MAX_GAP: Duration = Duration::from_millis(1_200);
 
 /// How reading a server's stream ended.
@@ -44,11 +45,11 @@
     splitter: EventSplitter,
     is_resumable: bool,
     /// The id of the last event that was forwarded.
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
 }
 
-/// Returns a response with the status and headers of the first server's stream, and spawns a task that
-/// forwards the events.
+/// Returns a response with the status and headers of the first server's stream, and spawns a task
+/// that forwards the events.
 pub(super) fn forward(
     request: ProxyRequest,
     opened: OpenedResponse,
@@ -63,7 +64,7 @@
     *response.headers_mut() = headers;
     let forwarder = StreamForwarder {
         is_resumable: request.route.kind == RequestKind::Stream { resumable: true },
-        last_event: request.head.last_event_id,
+        last_event_id: request.head.last_event_id,
         splitter: EventSplitter::default(),
         chunks,
         request,
@@ -140,10 +141,10 @@
             };
             log::info!(
                 request = &*self.request.head.id, server = &*selected.server.id,
-                after = self.last_event.unwrap_or(0); "stream goes on elsewhere"
+                after = self.last_event_id.unwrap_or(0); "stream goes on elsewhere"
             );
             self.request.cx.metrics.resumed_streams.inc();
-            let resumed = self.request.resume_at(&selected, self.last_event);
+            let resumed = self.request.resume_at(&selected, self.last_event_id);
             let opened = tokio::select! {
                 opened = resumed => opened,
                 () = self.chunks.closed() => return None,
@@ -196,8 +197,8 @@
         self.is_resumable && (request.attempted_servers.len() as u32) < request.route.max_attempts
     }
 
-    /// Returns whether the server currently sends nothing to any request of this node and another server
-    /// would resume the stream.
+    /// Returns whether the server currently sends nothing to any request of this node and another
+    /// server would resume the stream.
     fn should_switch_server(&self, opened: &OpenedResponse) -> bool {
         let cx = &self.request.cx;
         let since = cx.now() - MAX_GAP;
@@ -216,8 +217,8 @@
         }
     }
 
-    /// Forwards bytes; those of a resumable stream as complete events, without events that were already
-    /// forwarded.
+    /// Forwards bytes; those of a resumable stream as complete events, without events that were
+    /// already forwarded.
     async fn forward_data(&mut self, data: Bytes) -> Option<StreamEnd> {
         if !self.is_resumable {
             return self.send_to_caller(data).await;
@@ -227,10 +228,10 @@
         }
         let mut ready = bytes::BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
-            match (event.id, self.last_event) {
+            match (event.id, self.last_event_id) {
                 (Some(id), Some(last)) if id <= last => continue,
                 (Some(id), Some(last)) if id > last + 1 => return Some(StreamEnd::Interrupted),
-                (Some(id), _) => self.last_event = Some(id),
+                (Some(id), _) => self.last_event_id = Some(id),
                 (None, _) => {}
             }
             ready.extend_from_slice(&event.bytes);
@@ -238,7 +239,7 @@
         if ready.is_empty() { None } else { self.send_to_caller(ready.freeze()).await }
     }
 
-    /// Forwards what is left after the server ended its stream.
+    /// Forwards the buffered bytes of an incomplete event after the server ended its stream.
     async fn finish_events(&mut self) -> StreamEnd {
         if !self.splitter.has_partial_event() {
             return StreamEnd::Completed;
--- a/savoryport/src/node/sync.rs
+++ b/savoryport/src/node/sync.rs
@@ -1,5 +1,5 @@
-//! The client side of the calls between nodes: a follower exchanges state with the leader of its failure
-//! domain, and leaders exchange state with each other.
+//! The client side of the calls between nodes: a follower exchanges state with the leader of its
+//! failure domain, and leaders exchange state with each other.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 /// Number of consecutive failed calls after which a leader counts as lost.
 const LOST_AFTER: u32 = 2;
 
-/// The state of a follower towards its leader.
+/// The state of a follower's syncs with its leader.
 #[derive(Debug, Default)]
 struct Following {
     leader: Option<DomainLeader>,
@@ -42,8 +42,8 @@
     fetching: Arc<AtomicBool>,
 }
 
-/// Follows the leader of this node's failure domain. `read_store` tells the store reader whether this
-/// node has to read the store itself.
+/// Follows the leader of this node's failure domain. `read_store` tells the store reader whether
+/// this node has to read the store itself.
 pub async fn follow(cx: Arc<NodeContext>, read_store: watch::Sender<bool>) {
     let mut following = Following::default();
     let mut cleaned_at = cx.now();
@@ -63,8 +63,8 @@
     }
 }
 
-/// Calls the leader once, unless this node is a leader itself; returns whether this node has to read
-/// the store.
+/// Calls the leader once, unless this node is a leader itself; returns whether this node has to
+/// read the store.
 async fn follow_once(
     cx: &Arc<NodeContext>,
     following: &mut Following,
@@ -72,7 +72,7 @@
 ) -> bool {
     let domain = &cx.settings.failure_domain;
     let own = &cx.settings.vm;
-    // A leader reads the store for its followers, also when it leads another failure domain only.
+    // A leader reads the store for its followers, even if it leads only another failure domain.
     if cx.controllers.leads_any() {
         share_own_state(cx);
         return true;
@@ -138,7 +138,7 @@
     applies_servers: bool,
 ) -> bool {
     let now = cx.now();
-    // A node without contact to the store, or one that has just started, may know less than this one.
+    // A node that cannot reach the store, or has just started, may know less than this one.
     let applies_servers = applies_servers && reply.is_holder;
     cx.routing.lock().loads.set_other_nodes(reply.loads.iter().cloned().collect());
     record_prompts(cx, &reply.prompts, now);
@@ -158,7 +158,7 @@
     });
     following.have = reply.position;
     if !applies_servers {
-        // What was not applied has to be sent again.
+        // Tenure 0 requests a full reply, since the changes in this one were not applied.
         following.have.tenure = 0;
     }
     let nodes = cx.fleet.view().members.len();
@@ -166,8 +166,8 @@
     !reply.is_holder
 }
 
-/// Adds this leader's own work and prompts to the collected reports, and copies the loads of all other
-/// nodes to its routing state.
+/// Adds this leader's own work and prompts to the collected reports, and copies the loads of all
+/// other nodes to its routing state.
 fn share_own_state(cx: &NodeContext) {
     let now = cx.now();
     let (work_ms, prompts) = {
@@ -183,7 +183,7 @@
     routing.retry_budget.set_nodes(nodes);
 }
 
-/// Exchanges loads and changes with the leaders of other failure domains while this node is a leader.
+/// Exchanges loads and changes with the leaders of other failure domains while this node leads one.
 pub async fn exchange(cx: Arc<NodeContext>) {
     let mut positions: HashMap<Name, SyncPosition> = HashMap::new();
     let period = Duration::from_millis(cx.settings.exchange_period_ms);
--- a/savoryport/src/node/view.rs
+++ b/savoryport/src/node/view.rs
@@ -33,10 +33,11 @@
     pub peers: SocketAddr,
 }
 
-/// The operators' configuration with the bytes that it was decoded from, which are sent to followers.
+/// The operators' configuration with the bytes that it was decoded from, which are sent to
+/// followers.
 ///
-/// The bytes are kept compressed: with a few thousand routes they are half a megabyte, which takes the
-/// link of a small VM one second for each follower.
+/// The bytes are kept compressed: with a few thousand routes they are half a megabyte, which takes
+/// the link of a small VM one second for each follower.
 #[derive(Debug, Clone)]
 pub struct AcceptedConfig {
     /// The decoded configuration.
@@ -75,8 +76,8 @@
     }
 }
 
-/// Upper bound of a decompressed configuration, in bytes: several times the size limit of a value in
-/// the store.
+/// Upper bound of a decompressed configuration, in bytes: several times the size limit of a value
+/// in the store.
 const MAX_CONFIG_BYTES: u64 = 8 * 1024 * 1024;
 
 /// One snapshot of the fleet.
--- a/savoryport/tests/node_parts.rs
+++ b/savoryport/tests/node_parts.rs
@@ -1,5 +1,5 @@
-//! Tests of parts of a node without a running node: the event splitter, the settings, the member list, the
-//! health of the store and the prompt log.
+//! Tests of parts of a node without a running node: the event splitter, the settings, the member
+//! list, the health of the store and the prompt log.
 
 use std::time::{Duration, Instant};
 
@@ -78,8 +78,8 @@
     assert_eq!(fleet.view().members.len(), 1);
 }
 
-/// When the store refused a domain leader, its followers read the store themselves. They mistook the time
-/// before, in which they had not called it, for an outage, and kept servers that were leaving in use for
+/// Followers read the store themselves when it refuses their leader. They mistook the time in which
+/// they had made no calls for an outage of the store, and kept servers that were leaving in use for
 /// two seconds longer.
 #[test]
 fn a_store_that_was_not_called_was_not_away() {
@@ -110,7 +110,7 @@
     assert_eq!(keys, [[(1, 6_300)], [(2, 6_300)]]);
     log.add_local(&"a".into(), &[prompt(1, 13)], now);
     assert_eq!(log.shared_prefixes_since(position).1, []);
-    // It is announced again after a while, or the other domains would drop it while it is in use here.
+    // It is announced again after a while, or other domains would drop it while it is used here.
     log.add_local(&"a".into(), &[prompt(1, 14)], now + Duration::from_secs(6));
     assert_eq!(log.shared_prefixes_since(position).1.len(), 1);
 }
--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -105,8 +105,8 @@
 fn a_stream_that_breaks_late_goes_on_though_a_new_one_would_be_refused_by_then() {
     let mut site = NodeSite::start(1);
     site.models.push(("m3", 0.4));
-    // The first of the two is selected, since both are idle. Its third event would come after 1.2 s, more
-    // than twice the target latency of the first event.
+    // The first of the two is selected, since both are idle. Its third event would come after
+    // 1.2 s, more than twice the target latency of the first event.
     site.add_server_with_interval("late-a", "drafts", &["m3"], Duration::from_millis(400));
     site.server("late-a").set_fault(BackendFault::BreaksStreams);
     site.add_server("late-b", "drafts", &["m3"]);
@@ -167,8 +167,8 @@
 
 #[test]
 fn engines_that_restart_under_their_ids_are_filled_again() {
-    /// Models without requests are loaded again after three seconds; one that is requested must not wait
-    /// for that.
+    /// Models without requests are loaded again after three seconds; one that is requested must not
+    /// wait for that.
     const MAX_RELOAD_TIME: Duration = Duration::from_millis(2_500);
     let mut site = NodeSite::start(1);
     assert_eq!(site.send(0, "before", RequestKind::Stream("m0")).status, 200);
@@ -250,7 +250,7 @@
 #[test]
 fn a_stopping_node_leaves_the_directory_answers_and_finishes_its_streams() {
     let mut site = NodeSite::start(3);
-    site.wait_until("all nodes are named", |site| site.nodes[0].addresses().len() == 3);
+    site.wait_until("the directory names all nodes", |site| site.nodes[0].addresses().len() == 3);
     let callers = site.nodes[2].callers.clone();
     std::thread::scope(|scope| {
         let stream = scope.spawn(|| site.send(2, "last", RequestKind::Stream("m0")));
@@ -259,7 +259,7 @@
         let response = stream.join().expect("the caller's thread ends");
         assert_eq!(response.body, Some(expected_stream("last")));
     });
-    site.wait_until("the stopping node is no longer named", |site| {
+    site.wait_until("the directory no longer names the stopping node", |site| {
         (0..2).all(|node| {
             let named = site.nodes[node].addresses();
             !named.is_empty() && !named.contains(&callers)
@@ -278,20 +278,20 @@
         orders.sort_by_key(|order| order.at);
         orders
     };
-    let former_holder = all_orders(&site).last().expect("an order was given").holder.clone();
+    let former_leader = all_orders(&site).last().expect("an order was sent").holder.clone();
     let former = site
         .nodes
         .iter()
-        .position(|node| node.name == former_holder)
-        .expect("the holder is a node of the site");
+        .position(|node| node.name == former_leader)
+        .expect("the leader is a node of the site");
     let other = 1 - former;
-    // The former holder is frozen until its lease has expired, and continues while the other node gives
-    // orders.
+    // The former leader is frozen until its lease has expired, and continues while the other node
+    // sends orders.
     site.nodes[former].signal(Signal::STOP);
-    site.wait_until("the other node gives orders", |site| {
+    site.wait_until("the other node sends orders", |site| {
         let id = format!("second-{}", all_orders(site).len());
         site.send(other, &id, RequestKind::Stream("m0/a2")).status == 200
-            && all_orders(site).iter().any(|order| order.holder != former_holder)
+            && all_orders(site).iter().any(|order| order.holder != former_leader)
     });
     site.nodes[former].signal(Signal::CONT);
     for round in 0..5 {
--- a/savoryport/tests/node_site/mod.rs
+++ b/savoryport/tests/node_site/mod.rs
@@ -1,5 +1,5 @@
-//! A small platform deployment for tests: real nodes run as processes, stand-ins for the store and the
-//! servers run in the test process.
+//! A small platform deployment for tests: real nodes run as processes, stand-ins for the store and
+//! the servers run in the test process.
 
 // Each test binary uses only some of these helpers.
 #![allow(dead_code)]
@@ -81,7 +81,8 @@
 }
 
 impl NodeSite {
-    /// Starts `nodes` nodes, four model engines and three plain servers, and waits until they serve.
+    /// Starts `nodes` nodes, four model engines and three plain servers, and waits until they
+    /// serve.
     pub fn start(nodes: usize) -> Self {
         let dir = TempDir::new().expect("a temporary directory");
         let store = MetadataStandin::start("127.0.0.1:0");
@@ -257,7 +258,7 @@
     /// Prints the last log lines of every node, without those about ended requests, and its status.
     pub fn print_last_log_lines(&self, count: usize) {
         for node in &self.nodes {
-            let lines = node.log_lines.lock().expect("no holder panics");
+            let lines = node.log_lines.lock().expect("no thread panics while holding the lock");
             let lines: Vec<&str> = lines
                 .iter()
                 .map(String::as_str)
@@ -310,7 +311,7 @@
         let lines = self.log_lines.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(out).lines().map_while(Result::ok) {
-                lines.lock().expect("no holder panics").push(line);
+                lines.lock().expect("no thread panics while holding the lock").push(line);
             }
         });
         self.process = Some(child);
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -1,8 +1,8 @@
-//! A randomized soak test: injects faults into node processes, servers and the store, and checks the
-//! guarantees to callers and servers.
+//! A randomized soak test: injects faults into node processes, servers and the store, and checks
+//! the guarantees to callers and servers.
 //!
-//! CI runs a few seeds; set `SAVORYPORT_SOAK_SEEDS=100..150` to run others by hand. A seed that ever
-//! failed stays in [`REGRESSION_SEEDS`], with a line on the cause.
+//! CI runs a few seeds; set `SAVORYPORT_SOAK_SEEDS=100..150` to run others by hand. A seed that
+//! ever failed stays in [`REGRESSION_SEEDS`], with a line on the cause.
 
 mod node_site;
 
@@ -34,8 +34,8 @@
 /// Number of callers that send requests continuously.
 const CALLERS: u64 = 6;
 
-/// Time after the last fault within which requests are served again. It has to cover a lease and the
-/// time between orders of two leaders.
+/// Time after the last fault within which requests are served again. It has to cover a lease and
+/// the time between orders of two leaders.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The kind and the response status of each request, by its id.
@@ -80,9 +80,12 @@
                         RequestKind::Stream("m1/a1"),
                     ][rng.random_range(0..4)];
                     let (_, address) = &targets[rng.random_range(0..targets.len())];
-                    let answer = node_site::send_request(address, &id, kind);
-                    check_answer(seed, &id, kind, &answer);
-                    responses.lock().expect("no holder panics").insert(id, (kind, answer.status));
+                    let response = node_site::send_request(address, &id, kind);
+                    check_response(seed, &id, kind, &response);
+                    responses
+                        .lock()
+                        .expect("no thread panics while holding the lock")
+                        .insert(id, (kind, response.status));
                 }
             });
         }
@@ -94,7 +97,11 @@
         clear_faults(&mut site);
         stopping.store(true, Ordering::Relaxed);
     });
-    check_runs(seed, &site, &responses.into_inner().expect("no holder panics"));
+    check_runs(
+        seed,
+        &site,
+        &responses.into_inner().expect("no thread panics while holding the lock"),
+    );
     check_orders(seed, &site);
     check_recovery(seed, &site);
 }
@@ -190,13 +197,13 @@
 }
 
 /// Checks that a successful response is complete, has a server stamp and belongs to the request.
-fn check_answer(seed: u64, id: &str, kind: RequestKind, answer: &node_site::CallerResponse) {
-    if answer.status != 200 {
+fn check_response(seed: u64, id: &str, kind: RequestKind, response: &node_site::CallerResponse) {
+    if response.status != 200 {
         return;
     }
-    assert!(answer.server_stamp.is_some(), "seed {seed}: {id} has no server stamp");
+    assert!(response.server_stamp.is_some(), "seed {seed}: {id} has no server stamp");
     // A stream that was cut off has no body; one that ends normally must be complete.
-    let Some(body) = &answer.body else { return };
+    let Some(body) = &response.body else { return };
     let expected = match kind {
         RequestKind::Stream(_) => expected_stream(id),
         RequestKind::NonIdempotent | RequestKind::Idempotent => format!("answer to {id}"),
@@ -204,7 +211,8 @@
     assert_eq!(*body, expected, "seed {seed}: {id}");
 }
 
-/// Checks that a non-idempotent request ran at most once, and not at all where the response says so.
+/// Checks that a non-idempotent request ran at most once, and not at all where the response says
+/// so.
 fn check_runs(seed: u64, site: &NodeSite, responses: &Responses) {
     let runs = site.runs();
     for (id, (kind, status)) in responses {
@@ -220,8 +228,8 @@
     }
 }
 
-/// Checks that orders of two leaders to one server are at least [`ORDER_TURN_MS`] apart, that fencing
-/// tokens never fall, and that no server holds more models or adapters than fit.
+/// Checks that orders of two leaders to one server are at least [`ORDER_TURN_MS`] apart, that
+/// fencing tokens never fall, and that no server holds more models or adapters than fit.
 fn check_orders(seed: u64, site: &NodeSite) {
     for server in &site.servers {
         assert_eq!(server.overcommitted(), 0, "seed {seed}: {}", server.id());
