--- a/savoryport/src/node/fleet.rs
+++ b/savoryport/src/node/fleet.rs
@@ -57,7 +57,7 @@
     merged_servers: BTreeMap<Name, (u64, Arc<BackendServer>)>,
     removals: VecDeque<(u64, Name)>,
     /// Removals up to this revision are no longer in `removals`.
-    removals_after: u64,
+    removals_pruned_up_to: u64,
     servers_revision: u64,
     /// Members other than this node, with the time at which they expire.
     members: HashMap<Name, (Member, Instant)>,
@@ -76,7 +76,7 @@
             residency: HashMap::new(),
             merged_servers: BTreeMap::new(),
             removals: VecDeque::new(),
-            removals_after: 0,
+            removals_pruned_up_to: 0,
             servers_revision: 0,
             members: HashMap::new(),
             leaders: BTreeMap::new(),
@@ -122,8 +122,8 @@
 impl FleetState {
     /// Puts a configuration in force if it is newer; returns whether it was.
     pub fn accept_config(&mut self, config: AcceptedConfig) -> bool {
-        let known = self.config.as_ref().map(|config| config.deployment.version);
-        let is_newer = known.is_none_or(|version| config.deployment.version > version);
+        let known_version = self.config.as_ref().map(|config| config.deployment.version);
+        let is_newer = known_version.is_none_or(|version| config.deployment.version > version);
         if is_newer {
             self.config = Some(config);
         }
@@ -255,11 +255,11 @@
         domain: Option<&str>,
         reply: &mut SyncReply,
     ) {
-        let is_known = have.tenure == tenure && have.servers >= self.removals_after;
-        let since = if is_known { have.servers } else { 0 };
+        let is_incremental = have.tenure == tenure && have.servers >= self.removals_pruned_up_to;
+        let since = if is_incremental { have.servers } else { 0 };
         let is_included =
             |server: &BackendServer| domain.is_none_or(|name| &*server.failure_domain == name);
-        reply.is_full = !is_known;
+        reply.is_full = !is_incremental;
         reply.servers = self
             .merged_servers
             .values()
@@ -269,7 +269,7 @@
         reply.removed = self
             .removals
             .iter()
-            .filter(|(revision, _)| is_known && *revision > since)
+            .filter(|(revision, _)| is_incremental && *revision > since)
             .map(|(_, id)| id.clone())
             .collect();
         if have.tenure != tenure || have.members != self.members_revision {
@@ -358,7 +358,8 @@
             self.removals.push_back((self.servers_revision, id));
         }
         while self.removals.len() > MAX_REMOVALS {
-            self.removals_after = self.removals.pop_front().map_or(0, |(revision, _)| revision);
+            self.removals_pruned_up_to =
+                self.removals.pop_front().map_or(0, |(revision, _)| revision);
         }
         for server in self.registry.servers().values() {
             let residency = self
@@ -370,7 +371,7 @@
             let is_same = self.merged_servers.get(&server.id).is_some_and(|(_, known)| {
                 known.models == *models
                     && known.is_busy == is_busy
-                    && equals_except_models(known, server)
+                    && equals_except_residency(known, server)
             });
             if !is_same {
                 let merged = BackendServer { models: models.clone(), is_busy, ..server.clone() };
@@ -383,7 +384,7 @@
     }
 }
 
-fn equals_except_models(a: &BackendServer, b: &BackendServer) -> bool {
+fn equals_except_residency(a: &BackendServer, b: &BackendServer) -> bool {
     a.state == b.state
         && a.incarnation == b.incarnation
         && a.address == b.address
--- a/savoryport/src/node/planner.rs
+++ b/savoryport/src/node/planner.rs
@@ -167,8 +167,8 @@
         const WAITING_DEMAND: f64 = 0.1;
         let mut demand = self.demand.demand();
         for model in self.wanted_models.keys() {
-            let known = demand.entry(model.clone()).or_default();
-            *known = known.max(WAITING_DEMAND);
+            let model_demand = demand.entry(model.clone()).or_default();
+            *model_demand = model_demand.max(WAITING_DEMAND);
         }
         demand
     }
--- a/savoryport/src/node/proxy.rs
+++ b/savoryport/src/node/proxy.rs
@@ -137,7 +137,7 @@
                 }
                 Attempt::TryNext => {}
             }
-            if let Some(cause) = self.obstacle_to_retry() {
+            if let Some(cause) = self.reason_not_to_retry() {
                 let refusal = self.refusal_for(cause);
                 return self.finish_with_refusal(refusal);
             }
@@ -162,7 +162,7 @@
     }
 
     /// Returns why the request may not be sent to another server, or `None` if it may.
-    fn obstacle_to_retry(&self) -> Option<RefusalCause> {
+    fn reason_not_to_retry(&self) -> Option<RefusalCause> {
         if self.remaining_time().is_zero() {
             return Some(RefusalCause::TimedOut);
         }
--- a/savoryport/src/node/server_selection.rs
+++ b/savoryport/src/node/server_selection.rs
@@ -95,19 +95,19 @@
             ));
         }
         let mut waited_for_model = false;
-        let mut without_room: Vec<Name> = Vec::new();
+        let mut servers_without_room: Vec<Name> = Vec::new();
         loop {
-            match self.try_select(&without_room) {
+            match self.try_select(&servers_without_room) {
                 Selection::Selected(selected, false) => return Ok(selected),
                 Selection::Selected(selected, true) => {
                     if self.load_adapter(&selected.server).await {
                         return Ok(selected);
                     }
-                    without_room.push(selected.server.id.clone());
+                    servers_without_room.push(selected.server.id.clone());
                 }
                 Selection::NoServer if self.may_wait_for_room() => {
                     tokio::time::sleep(ADAPTER_ROOM_POLL).await;
-                    without_room.clear();
+                    servers_without_room.clear();
                 }
                 Selection::NoModel if !waited_for_model => {
                     self.await_model().await?;
@@ -169,10 +169,10 @@
     }
 
     /// Selects a server among the current ones, without waiting.
-    fn try_select(&self, without_room: &[Name]) -> Selection {
+    fn try_select(&self, servers_without_room: &[Name]) -> Selection {
         let view = self.cx.fleet.view();
         let mut candidates = self.candidates(&view);
-        candidates.retain(|(candidate, _)| !without_room.contains(&candidate.server.id));
+        candidates.retain(|(candidate, _)| !servers_without_room.contains(&candidate.server.id));
         if candidates.is_empty() {
             let holds = |server: &&Arc<BackendServer>| {
                 self.head
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -211,8 +211,8 @@
     assert_eq!(*body, expected, "seed {seed}: {id}");
 }
 
-/// Checks that a non-idempotent request ran at most once, and not at all where the response says
-/// so.
+/// Checks that a non-idempotent request ran at most once, and not at all if the response says
+/// that it did not run.
 fn check_runs(seed: u64, site: &NodeSite, responses: &Responses) {
     let runs = site.runs();
     for (id, (kind, status)) in responses {
