--- a/savoryport/src/node/fleet.rs
+++ b/savoryport/src/node/fleet.rs
@@ -1,4 +1,5 @@
-//! What this node knows about the fleet, and the revisions from which updates to other nodes are built.
+//! What this node knows about the fleet, and the revisions from which updates to other nodes are
+//! built.
 //!
 //! Tasks that learn something update the state here; requests read immutable snapshots of it.
 
@@ -16,11 +17,11 @@
 /// A follower that has not reported for this long is no longer named to callers.
 const FOLLOWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A member known only through another node is removed when that node has not confirmed it for this
-/// long.
+/// A member known only from another node's replies is removed when that node has not confirmed it
+/// for this long.
 const RELAYED_MEMBER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Number of server removals kept for followers. A follower that is further behind gets the full list.
+/// Number of server removals kept for other nodes. A node further behind gets the full list.
 const MAX_REMOVALS: usize = 256;
 
 /// The models of a server as the leader that sends it orders knows them, which is newer than the
@@ -56,7 +57,7 @@
     merged_servers: BTreeMap<Name, (u64, Arc<BackendServer>)>,
     removals: VecDeque<(u64, Name)>,
     /// Removals up to this revision are no longer in `removals`.
-    removals_after: u64,
+    removals_pruned_up_to: u64,
     servers_revision: u64,
     /// Members other than this node, with the time at which they expire.
     members: HashMap<Name, (Member, Instant)>,
@@ -75,7 +76,7 @@
             residency: HashMap::new(),
             merged_servers: BTreeMap::new(),
             removals: VecDeque::new(),
-            removals_after: 0,
+            removals_pruned_up_to: 0,
             servers_revision: 0,
             members: HashMap::new(),
             leaders: BTreeMap::new(),
@@ -114,15 +115,15 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, FleetState> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no thread panics while holding the lock")
     }
 }
 
 impl FleetState {
     /// Puts a configuration in force if it is newer; returns whether it was.
     pub fn accept_config(&mut self, config: AcceptedConfig) -> bool {
-        let known = self.config.as_ref().map(|config| config.deployment.version);
-        let is_newer = known.is_none_or(|version| config.deployment.version > version);
+        let known_version = self.config.as_ref().map(|config| config.deployment.version);
+        let is_newer = known_version.is_none_or(|version| config.deployment.version > version);
         if is_newer {
             self.config = Some(config);
         }
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Removes a member that reported that it is leaving.
+    /// Removes a member that is leaving.
     pub fn remove_member(&mut self, vm: &str) {
         if self.members.remove(vm).is_some() {
             self.members_revision += 1;
@@ -197,8 +198,8 @@
         self.members_revision += 1;
     }
 
-    /// Extends the lifetime of members that another node has reported before, in one failure domain or
-    /// in all.
+    /// Extends the lifetime of members that another node has reported before, in one failure domain
+    /// or in all.
     pub fn confirm_members(&mut self, domain: Option<&str>, now: Instant) {
         for (member, expires_at) in self.members.values_mut() {
             if domain.is_none_or(|domain| &*member.failure_domain == domain) {
@@ -245,8 +246,8 @@
         self.members.values().map(|(member, _)| member).chain([&self.own])
     }
 
-    /// Fills a reply with the changes since the position `have` of the asking node. With `domain`, only
-    /// the servers and members of that failure domain are included.
+    /// Fills a reply with the changes since the position `have` of the asking node. With `domain`,
+    /// only the servers and members of that failure domain are included.
     pub fn fill_reply(
         &self,
         have: SyncPosition,
@@ -254,11 +255,11 @@
         domain: Option<&str>,
         reply: &mut SyncReply,
     ) {
-        let is_known = have.tenure == tenure && have.servers >= self.removals_after;
-        let since = if is_known { have.servers } else { 0 };
+        let is_incremental = have.tenure == tenure && have.servers >= self.removals_pruned_up_to;
+        let since = if is_incremental { have.servers } else { 0 };
         let is_included =
             |server: &BackendServer| domain.is_none_or(|name| &*server.failure_domain == name);
-        reply.is_full = !is_known;
+        reply.is_full = !is_incremental;
         reply.servers = self
             .merged_servers
             .values()
@@ -268,7 +269,7 @@
         reply.removed = self
             .removals
             .iter()
-            .filter(|(revision, _)| is_known && *revision > since)
+            .filter(|(revision, _)| is_incremental && *revision > since)
             .map(|(_, id)| id.clone())
             .collect();
         if have.tenure != tenure || have.members != self.members_revision {
@@ -289,8 +290,8 @@
         };
     }
 
-    /// Returns a number that changes whenever servers are taken from a leader. The changes in the store
-    /// since an earlier listing then no longer add up to the store's contents.
+    /// Returns a number that changes whenever servers are taken from a leader. The changes in the
+    /// store since an earlier listing then no longer add up to the store's contents.
     pub fn relayed_count(&self) -> u64 {
         self.relayed_count
     }
@@ -357,7 +358,8 @@
             self.removals.push_back((self.servers_revision, id));
         }
         while self.removals.len() > MAX_REMOVALS {
-            self.removals_after = self.removals.pop_front().map_or(0, |(revision, _)| revision);
+            self.removals_pruned_up_to =
+                self.removals.pop_front().map_or(0, |(revision, _)| revision);
         }
         for server in self.registry.servers().values() {
             let residency = self
@@ -369,7 +371,7 @@
             let is_same = self.merged_servers.get(&server.id).is_some_and(|(_, known)| {
                 known.models == *models
                     && known.is_busy == is_busy
-                    && equals_except_models(known, server)
+                    && equals_except_residency(known, server)
             });
             if !is_same {
                 let merged = BackendServer { models: models.clone(), is_busy, ..server.clone() };
@@ -382,7 +384,7 @@
     }
 }
 
-fn equals_except_models(a: &BackendServer, b: &BackendServer) -> bool {
+fn equals_except_residency(a: &BackendServer, b: &BackendServer) -> bool {
     a.state == b.state
         && a.incarnation == b.incarnation
         && a.address == b.address
