--- a/savoryport/tests/site/mod.rs
+++ b/savoryport/tests/site/mod.rs
@@ -14,7 +14,7 @@
 use savoryport_standin::engine::{EngineConfig, EngineStandin};
 use savoryport_standin::fleet::{LocalFleet, free_address};
 use savoryport_standin::proxy::Proxy;
-use savoryport_standin::vms::VmListStandin;
+use savoryport_standin::vm_list::VmListStandin;
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
--- a/savoryport_standin/src/fleet.rs
+++ b/savoryport_standin/src/fleet.rs
@@ -9,7 +9,7 @@
 use crate::engine::{EngineConfig, EngineStandin};
 use crate::kv::KvStandin;
 use crate::service::ServiceStandin;
-use crate::vms::VmListStandin;
+use crate::vm_list::VmListStandin;
 
 /// Stand-ins for a platform and its backend servers.
 pub struct LocalFleet {
--- a/savoryport_standin/src/lib.rs
+++ b/savoryport_standin/src/lib.rs
@@ -12,5 +12,5 @@
 pub mod metadata;
 pub mod proxy;
 pub mod service;
-pub mod vms;
+pub mod vm_list;
 pub mod weights;
--- a/savoryport_standin/src/main.rs
+++ b/savoryport_standin/src/main.rs
@@ -9,7 +9,7 @@
 use savoryport_standin::kv::KvStandin;
 use savoryport_standin::proxy::Proxy;
 use savoryport_standin::service::ServiceStandin;
-use savoryport_standin::vms::VmListStandin;
+use savoryport_standin::vm_list::VmListStandin;
 use savoryport_standin::weights::{Limits, WeightStandin};
 
 const USAGE: &str = "\
