--- a/savoryport_bench/src/bin/demo.rs
+++ b/savoryport_bench/src/bin/demo.rs
@@ -92,7 +92,7 @@
     std::fs::write(&path, TABLE)?;
     let options = Options {
         key_value: fleet.kv.address().to_owned(),
-        vm_list: Some(fleet.vms.address().to_owned()),
+        vm_list: Some(fleet.vm_list.address().to_owned()),
         first: true,
         ..Options::default()
     };
@@ -179,6 +179,6 @@
     println!(
         "  cargo run --release --bin savoryport -- --key-value {} --vm-list {} status",
         fleet.kv.address(),
-        fleet.vms.address()
+        fleet.vm_list.address()
     );
 }
--- a/savoryport_standin/src/fleet.rs
+++ b/savoryport_standin/src/fleet.rs
@@ -16,7 +16,7 @@
     /// The key-value service.
     pub kv: KvStandin,
     /// The list of VMs.
-    pub vms: VmListStandin,
+    pub vm_list: VmListStandin,
     /// The engines, in the order of the list.
     pub engines: Vec<EngineStandin>,
     /// The plain services, in the order of the list.
@@ -50,8 +50,8 @@
             }
         }
         let kv = KvStandin::start("127.0.0.1:0");
-        let vms = VmListStandin::start("127.0.0.1:0", list.clone(), lag);
-        Self { kv, vms, engines, services, list }
+        let vm_list = VmListStandin::start("127.0.0.1:0", list.clone(), lag);
+        Self { kv, vm_list, engines, services, list }
     }
 
     /// Returns the entry VMs.
@@ -75,7 +75,7 @@
             "control_listen": vm.control_address,
             "control_metrics_listen": free_address(),
             "key_value": self.kv.address(),
-            "vm_list": self.vms.address(),
+            "vm_list": self.vm_list.address(),
             "peers": peers,
             "log_level": "warn",
         })
