--- a/savoryport/tests/site/mod.rs
+++ b/savoryport/tests/site/mod.rs
@@ -100,7 +100,7 @@
             token_time: Duration::from_millis(20),
             ..EngineConfig::default()
         });
-        let mut list = fleet.list.clone();
+        let mut list = fleet.initial_list.clone();
         let (mut engine_proxies, mut service_proxies) = (Vec::new(), Vec::new());
         for vm in list.vms.iter_mut().filter(|vm| vm.role != VmRole::Entry) {
             let proxy = Proxy::start("127.0.0.1:0", &vm.address);
--- a/savoryport_bench/src/path.rs
+++ b/savoryport_bench/src/path.rs
@@ -62,7 +62,7 @@
          | requests/s | requests/s a core of the entry |\n| --- | --- | --- | --- | --- | --- |"
     );
     for in_flight in IN_FLIGHT {
-        let direct = load(&fleet.list.vms[1].address, in_flight);
+        let direct = load(&fleet.initial_list.vms[1].address, in_flight);
         let before = seconds_of(ENTRY_THREADS);
         let through = load(&address, in_flight);
         let spent = seconds_of(ENTRY_THREADS) - before;
--- a/savoryport_standin/src/fleet.rs
+++ b/savoryport_standin/src/fleet.rs
@@ -22,7 +22,7 @@
     /// The plain services, in the order of the list.
     pub services: Vec<ServiceStandin>,
     /// The list that the platform shows first, with addresses on loopback.
-    pub list: VmList,
+    pub initial_list: VmList,
 }
 
 impl LocalFleet {
@@ -51,17 +51,17 @@
         }
         let kv = KvStandin::start("127.0.0.1:0");
         let vm_list = VmListStandin::start("127.0.0.1:0", list.clone(), lag);
-        Self { kv, vm_list, engines, services, list }
+        Self { kv, vm_list, engines, services, initial_list: list }
     }
 
     /// Returns the entry VMs.
     pub fn entries(&self) -> Vec<&Vm> {
-        self.list.entries().collect()
+        self.initial_list.entries().collect()
     }
 
     /// Returns the settings of an entry VM's daemons.
     pub fn settings(&self, vm: &Vm) -> Value {
-        let controls = self.list.entries().filter_map(|vm| vm.control_address.as_ref());
+        let controls = self.initial_list.entries().filter_map(|vm| vm.control_address.as_ref());
         let peers: Vec<&str> = controls
             .filter(|address| Some(*address) != vm.control_address.as_ref())
             .map(|address| &**address)
