--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -275,7 +275,7 @@
     assert_eq!(site.send(0, "first", RequestKind::Stream("m0/a1")).status, 200);
     let all_orders = |site: &NodeSite| {
         let mut orders: Vec<_> = site.servers.iter().flat_map(|server| server.orders()).collect();
-        orders.sort_by_key(|order| order.at);
+        orders.sort_by_key(|order| order.received_at);
         orders
     };
     let former_holder = all_orders(&site).last().expect("an order was given").holder.clone();
@@ -299,7 +299,10 @@
     }
     let orders = all_orders(&site);
     for pair in orders.windows(2).filter(|pair| pair[0].holder != pair[1].holder) {
-        assert!(pair[1].at - pair[0].at >= Duration::from_millis(node_site::ORDER_TURN_MS));
+        assert!(
+            pair[1].received_at - pair[0].received_at
+                >= Duration::from_millis(node_site::ORDER_TURN_MS)
+        );
         assert!(pair[1].fencing_token > pair[0].fencing_token);
     }
     site.nodes[former].signal(Signal::KILL);
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -230,7 +230,8 @@
                 pair[1].fencing_token >= pair[0].fencing_token,
                 "seed {seed}: the fencing token fell"
             );
-            let is_apart = pair[1].at - pair[0].at >= Duration::from_millis(ORDER_TURN_MS);
+            let is_apart =
+                pair[1].received_at - pair[0].received_at >= Duration::from_millis(ORDER_TURN_MS);
             let same = pair[0].fencing_token == pair[1].fencing_token;
             assert!(
                 same || pair[0].holder == pair[1].holder || is_apart,
--- a/savoryport_standin/src/backend.rs
+++ b/savoryport_standin/src/backend.rs
@@ -67,7 +67,7 @@
 struct State {
     fault: BackendFault,
     runs: HashMap<String, u32>,
-    orders: Vec<Ordered>,
+    orders: Vec<ReceivedOrder>,
     accepted: u64,
     models: BTreeMap<String, Vec<String>>,
     overcommitted: u32,
@@ -75,13 +75,13 @@
 
 /// An order that came.
 #[derive(Debug, Clone)]
-pub struct Ordered {
+pub struct ReceivedOrder {
     /// Who gave it.
     pub holder: String,
     /// Its fencing token.
     pub fencing_token: u64,
     /// When it came.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
 /// A running server.
@@ -146,7 +146,7 @@
     }
 
     /// Returns the orders that came.
-    pub fn orders(&self) -> Vec<Ordered> {
+    pub fn orders(&self) -> Vec<ReceivedOrder> {
         self.lock().orders.clone()
     }
 
@@ -202,10 +202,10 @@
         drop(state);
         return lose_answer(req);
     }
-    state.orders.push(Ordered {
+    state.orders.push(ReceivedOrder {
         holder: order["holder"].as_str().unwrap_or_default().to_owned(),
         fencing_token: order["fencingToken"].as_u64().unwrap_or(0),
-        at: Instant::now(),
+        received_at: Instant::now(),
     });
     let status = state.carry_out(cfg, &order);
     drop(state);
