--- a/savoryport/tests/node_site/mod.rs
+++ b/savoryport/tests/node_site/mod.rs
@@ -176,8 +176,8 @@
             service: service.to_owned(),
             failure_domain: "east-a".to_owned(),
             models: models.iter().map(|model| (*model).to_owned()).collect(),
-            adapter_places: 3,
-            model_places: 3,
+            adapter_capacity: 3,
+            model_capacity: 3,
             events: 8,
             pace: event_interval,
         };
--- a/savoryport_standin/src/backend.rs
+++ b/savoryport_standin/src/backend.rs
@@ -27,9 +27,9 @@
     /// Models that it holds at first, for an engine.
     pub models: Vec<String>,
     /// Adapters that it holds at most.
-    pub adapter_places: usize,
+    pub adapter_capacity: usize,
     /// Models that it holds at most.
-    pub model_places: usize,
+    pub model_capacity: usize,
     /// Events of each stream.
     pub events: u64,
     /// The pause between two events, and the work of a plain request.
@@ -240,7 +240,7 @@
             _ => return 400,
         }
         let adapters: usize = self.models.values().map(Vec::len).sum();
-        if adapters > cfg.adapter_places || self.models.len() > cfg.model_places {
+        if adapters > cfg.adapter_capacity || self.models.len() > cfg.model_capacity {
             self.overcommitted += 1;
         }
         202
