--- a/savoryport/tests/node_site/mod.rs
+++ b/savoryport/tests/node_site/mod.rs
@@ -178,8 +178,8 @@
             models: models.iter().map(|model| (*model).to_owned()).collect(),
             adapter_capacity: 3,
             model_capacity: 3,
-            events: 8,
-            pace: event_interval,
+            events_per_stream: 8,
+            event_interval,
         };
         self.starts += 1;
         let incarnation = 1_000 + self.starts;
--- a/savoryport_standin/src/backend.rs
+++ b/savoryport_standin/src/backend.rs
@@ -31,9 +31,9 @@
     /// Models that it holds at most.
     pub model_capacity: usize,
     /// Events of each stream.
-    pub events: u64,
+    pub events_per_stream: u64,
     /// The pause between two events, and the work of a plain request.
-    pub pace: Duration,
+    pub event_interval: Duration,
 }
 
 /// What a server does wrong.
@@ -277,14 +277,14 @@
     };
     match fault {
         BackendFault::LosesAnswers => {
-            thread::sleep(cfg.pace);
+            thread::sleep(cfg.event_interval);
             lose_answer(req);
         }
         BackendFault::Fails => answer(req, cfg, 500, &id, "failed"),
         BackendFault::Crosses => answer(req, cfg, 200, "somebody-else", "not yours"),
         _ if asked.is_some() => stream(req, cfg, &id, fault),
         _ => {
-            thread::sleep(cfg.pace);
+            thread::sleep(cfg.event_interval);
             answer(req, cfg, 200, &id, &format!("answer to {id}"));
         }
     }
@@ -315,7 +315,7 @@
          X-Server-Stamp: stamp.{}\r\ntransfer-encoding: chunked\r\n\r\n",
         cfg.id
     );
-    for event in first..=cfg.events {
+    for event in first..=cfg.events_per_stream {
         let mut piece = format!("id: {event}\ndata: event {event} of {id}\n\n");
         if let BackendFault::Stalls { before, pause } = fault
             && before == event
@@ -331,7 +331,7 @@
         if writer.write_all(chunk.as_bytes()).is_err() || writer.flush().is_err() || breaks {
             return;
         }
-        thread::sleep(cfg.pace);
+        thread::sleep(cfg.event_interval);
     }
     let _ = writer.write_all(b"0\r\n\r\n");
     let _ = writer.flush();
