--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -57,7 +57,7 @@
 #[test]
 fn a_request_that_may_not_repeat_runs_once_and_is_never_said_not_to_have_run() {
     let site = NodeSite::start(1);
-    for fault in [BackendFault::LosesAnswers, BackendFault::Crosses] {
+    for fault in [BackendFault::LosesAnswers, BackendFault::WrongRequestId] {
         for server in ["plain-0", "plain-1", "plain-2"] {
             site.server(server).set_fault(fault);
         }
@@ -71,7 +71,7 @@
 #[test]
 fn an_answer_to_somebody_else_reaches_nobody() {
     let site = NodeSite::start(1);
-    site.server("plain-0").set_fault(BackendFault::Crosses);
+    site.server("plain-0").set_fault(BackendFault::WrongRequestId);
     for number in 0..12 {
         let id = format!("x-{number}");
         let response = site.send(0, &id, RequestKind::Idempotent);
@@ -134,7 +134,7 @@
 #[test]
 fn stalled_stream_is_kept_open_if_no_other_server_can_resume_it() {
     let pause = Duration::from_millis(2_000);
-    let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before: 3, pause });
+    let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before_event: 3, pause });
     let stream = site.send(0, "silent", RequestKind::Stream("m3"));
     assert_eq!((stream.status, stream.body), (200, Some(expected_stream("silent"))));
     assert_eq!(site.runs_of("silent"), 1);
@@ -144,7 +144,7 @@
 fn request_waits_for_a_slow_first_event_if_no_other_server_can_take_it() {
     // More than half of the route's timeout, after which a request may be sent to another server.
     let pause = Duration::from_millis(2_500);
-    let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before: 1, pause });
+    let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before_event: 1, pause });
     let stream = site.send(0, "slow", RequestKind::Stream("m3"));
     assert_eq!((stream.status, stream.body), (200, Some(expected_stream("slow"))));
     assert_eq!(site.runs_of("slow"), 1);
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -168,7 +168,7 @@
                 BackendFault::LosesAnswers,
                 BackendFault::BreaksStreams,
                 BackendFault::Fails,
-                BackendFault::Crosses,
+                BackendFault::WrongRequestId,
                 BackendFault::IgnoresOrders,
             ];
             site.servers[server].set_fault(faults[rng.random_range(0..faults.len())]);
--- a/savoryport_standin/src/backend.rs
+++ b/savoryport_standin/src/backend.rs
@@ -51,14 +51,14 @@
     /// It pauses once before this event of each stream.
     Stalls {
         /// The event, counted from 1.
-        before: u64,
+        before_event: u64,
         /// The pause.
         pause: Duration,
     },
     /// It answers with a failure of its own.
     Fails,
     /// It answers with the id of another request.
-    Crosses,
+    WrongRequestId,
     /// It leaves orders without an answer and does not carry them out.
     IgnoresOrders,
 }
@@ -281,7 +281,7 @@
             lose_answer(req);
         }
         BackendFault::Fails => answer(req, cfg, 500, &id, "failed"),
-        BackendFault::Crosses => answer(req, cfg, 200, "somebody-else", "not yours"),
+        BackendFault::WrongRequestId => answer(req, cfg, 200, "somebody-else", "not yours"),
         _ if asked.is_some() => stream(req, cfg, &id, fault),
         _ => {
             thread::sleep(cfg.event_interval);
@@ -317,8 +317,8 @@
     );
     for event in first..=cfg.events_per_stream {
         let mut piece = format!("id: {event}\ndata: event {event} of {id}\n\n");
-        if let BackendFault::Stalls { before, pause } = fault
-            && before == event
+        if let BackendFault::Stalls { before_event, pause } = fault
+            && before_event == event
         {
             std::thread::sleep(pause);
         }
