--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -34,7 +34,7 @@
         let stream = site.send(number % 2, &id, RequestKind::Stream(model));
         assert_eq!((stream.status, stream.body), (200, Some(expected_stream(&id))), "{model}");
     }
-    assert!(site.servers.iter().all(|server| server.overcommitted() == 0));
+    assert!(site.servers.iter().all(|server| server.overcommit_count() == 0));
     assert!(site.servers.iter().any(|server| !server.orders().is_empty()));
 }
 
@@ -178,7 +178,7 @@
         site.send(0, "after", RequestKind::Stream("m0")).status == 200
     });
     assert!(restarted_at.elapsed() < MAX_RELOAD_TIME, "{:?}", restarted_at.elapsed());
-    assert!(site.servers.iter().all(|server| server.overcommitted() == 0));
+    assert!(site.servers.iter().all(|server| server.overcommit_count() == 0));
 }
 
 #[test]
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -224,7 +224,7 @@
 /// tokens never fall, and that no server holds more models or adapters than fit.
 fn check_orders(seed: u64, site: &NodeSite) {
     for server in &site.servers {
-        assert_eq!(server.overcommitted(), 0, "seed {seed}: {}", server.id());
+        assert_eq!(server.overcommit_count(), 0, "seed {seed}: {}", server.id());
         for pair in server.orders().windows(2) {
             assert!(
                 pair[1].fencing_token >= pair[0].fencing_token,
--- a/savoryport_standin/src/backend.rs
+++ b/savoryport_standin/src/backend.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the platform's backend servers: plain services and model engines.
 //!
 //! It counts by itself what the promises are about: how often each request ran, which orders came from
-//! whom, and whether memory was overcommitted.
+//! whom, and whether memory was overcommit_count.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
@@ -70,7 +70,7 @@
     orders: Vec<ReceivedOrder>,
     accepted: u64,
     models: BTreeMap<String, Vec<String>>,
-    overcommitted: u32,
+    overcommit_count: u32,
 }
 
 /// An order that came.
@@ -151,8 +151,8 @@
     }
 
     /// Returns how often it was told to hold more than fits.
-    pub fn overcommitted(&self) -> u32 {
-        self.lock().overcommitted
+    pub fn overcommit_count(&self) -> u32 {
+        self.lock().overcommit_count
     }
 
     /// Returns its id.
@@ -241,7 +241,7 @@
         }
         let adapters: usize = self.models.values().map(Vec::len).sum();
         if adapters > cfg.adapter_capacity || self.models.len() > cfg.model_capacity {
-            self.overcommitted += 1;
+            self.overcommit_count += 1;
         }
         202
     }
