--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -166,7 +166,7 @@
 fn a_node_cut_off_from_the_service_follows_again_after_the_cut() {
     let site = Site::start();
     site.kv_proxies[2].set_faults(|faults| faults.refuse = true);
-    site.kv_proxies[2].cut();
+    site.kv_proxies[2].close_connections();
     assert!(is_served(&site, 2, "quick"));
     site.apply(&larger_table(), false).unwrap();
     // The node without access to the key-value service gets the table from its peers.
@@ -184,7 +184,7 @@
 #[test]
 fn control_reconnects_when_key_value_connections_go_silent() {
     let site = Site::start();
-    site.kv_proxies.iter().for_each(savoryport_standin::proxy::Proxy::silence_open);
+    site.kv_proxies.iter().for_each(savoryport_standin::proxy::Proxy::blackhole_open_connections);
     site.apply(&larger_table(), false).unwrap();
     let in_force_everywhere = || (0..3).all(|node| site.entry_table_version(node) == 2);
     wait_for("version 2 everywhere", IN_FORCE_WITHIN, in_force_everywhere);
@@ -301,7 +301,7 @@
     let site = Site::start();
     let dead = site.engines_with("draft")[0];
     site.engine_proxies[dead].set_faults(|faults| faults.refuse = true);
-    site.engine_proxies[dead].cut();
+    site.engine_proxies[dead].close_connections();
     // A model with a second copy is served without interruption.
     assert!(is_served(&site, 0, "quick"));
     let all =
@@ -326,7 +326,7 @@
     let mut site = Site::start();
     for engine in [2, 3] {
         site.engine_proxies[engine].set_faults(|faults| faults.refuse = true);
-        site.engine_proxies[engine].cut();
+        site.engine_proxies[engine].close_connections();
     }
     kill(&mut site.nodes[2].entry);
     kill(&mut site.nodes[2].control);
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -156,7 +156,7 @@
         4 => {
             let faults = Faults {
                 refuse: rng.random_bool(0.3),
-                hold: rng.random_bool(0.3),
+                pause: rng.random_bool(0.3),
                 delay: Duration::from_millis(rng.random_range(0..300)),
                 ..Faults::default()
             };
--- a/savoryport/tests/requests.rs
+++ b/savoryport/tests/requests.rs
@@ -46,7 +46,9 @@
     let mut lines = site.stream(0, "quick", "gone silent", 40);
     let mut first = lines.next().unwrap().unwrap();
     first = first.replace("data: ", "");
-    site.engine_proxies.iter().for_each(savoryport_standin::proxy::Proxy::silence_open);
+    site.engine_proxies
+        .iter()
+        .for_each(savoryport_standin::proxy::Proxy::blackhole_open_connections);
     let result = read_stream(lines);
     let expected = expected_tokens("gone silent", 40);
     assert!(first.contains(&expected[0]));
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -419,12 +419,12 @@
             others.spawn(follow(proxy.address().to_owned(), at, tx.clone()));
         }
         std::thread::sleep(Duration::from_secs(2));
-        let (bytes, cpu) = (proxy.bytes(), seconds_of(CONTROL_THREADS));
+        let (bytes, cpu) = (proxy.forwarded_bytes(), seconds_of(CONTROL_THREADS));
         std::thread::sleep(WATCHED);
         let seconds = WATCHED.as_secs_f64();
-        idle.add(count, (proxy.bytes() - bytes) as f64 / seconds);
+        idle.add(count, (proxy.forwarded_bytes() - bytes) as f64 / seconds);
         time.add(count, (seconds_of(CONTROL_THREADS) - cpu) / seconds * 100.0);
-        let bytes = proxy.bytes();
+        let bytes = proxy.forwarded_bytes();
         let mut slowest: f64 = 0.0;
         for version in 2..2 + CHANGES {
             let began = Instant::now();
@@ -437,7 +437,7 @@
             }
             slowest = slowest.max(began.elapsed().as_secs_f64() * 1e3);
         }
-        change.add(count, (proxy.bytes() - bytes) as f64 / CHANGES as f64);
+        change.add(count, (proxy.forwarded_bytes() - bytes) as f64 / CHANGES as f64);
         spread.add(count, slowest);
         others.shutdown_background();
     }
--- a/savoryport_platform/tests/engine_contract.rs
+++ b/savoryport_platform/tests/engine_contract.rs
@@ -114,7 +114,7 @@
         let sending = second.send(request("two"));
         let cutting = async {
             tokio::time::sleep(Duration::from_millis(80)).await;
-            proxy.cut();
+            proxy.close_connections();
         };
         let (sent, ()) = tokio::join!(sending, cutting);
         assert_matches!(sent, Err(SendError::Broken { .. }));
@@ -132,7 +132,7 @@
         let mut first = pool.connect(&address, true, TIMEOUT).await.unwrap();
         first.send(request("one")).await.unwrap().into_body().collect().await.unwrap();
         pool.give_back(first);
-        proxy.silence_open();
+        proxy.blackhole_open_connections();
         let mut fresh = pool.connect(&address, false, TIMEOUT).await.unwrap();
         let answered = tokio::time::timeout(TIMEOUT, fresh.send(request("two"))).await;
         assert!(answered.is_ok_and(|answer| answer.is_ok()));
--- a/savoryport_platform/tests/kv_contract.rs
+++ b/savoryport_platform/tests/kv_contract.rs
@@ -113,7 +113,7 @@
     let proxy = Proxy::start("127.0.0.1:0", standin.address());
     let kv = EtcdClient::new(proxy.address(), TIMEOUT);
     assert_eq!(kv.get("a").unwrap(), None);
-    proxy.silence_open();
+    proxy.blackhole_open_connections();
     let began = Instant::now();
     assert_matches!(kv.get("a"), Err(KvError::Unanswered(_)));
     assert!(began.elapsed() < TIMEOUT * 3);
--- a/savoryport_standin/src/proxy.rs
+++ b/savoryport_standin/src/proxy.rs
@@ -15,7 +15,7 @@
     /// New connections are closed at once.
     pub refuse: bool,
     /// Bytes are held back, on connections old and new, until the fault ends.
-    pub hold: bool,
+    pub pause: bool,
     /// Each piece takes this much longer.
     pub delay: Duration,
     /// Bytes a second in each direction; 0 is no limit.
@@ -70,20 +70,20 @@
     }
 
     /// Closes every open connection.
-    pub fn cut(&self) {
+    pub fn close_connections(&self) {
         for stream in self.lock().open.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
     /// Lets the connections that are open now go silent for good, without closing them.
-    pub fn silence_open(&self) {
+    pub fn blackhole_open_connections(&self) {
         let mut state = self.lock();
         state.silent_before = state.made;
     }
 
     /// Returns the bytes forwarded so far, both directions.
-    pub fn bytes(&self) -> u64 {
+    pub fn forwarded_bytes(&self) -> u64 {
         self.lock().bytes
     }
 
@@ -136,7 +136,7 @@
         }
         let mut state = shared.lock().expect("no holder panics");
         let faults = state.faults;
-        if !faults.hold {
+        if !faults.pause {
             state.bytes += len as u64;
             drop(state);
             thread::sleep(faults.delay + transfer_time(len, faults.bytes_per_second));
