--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -470,13 +470,13 @@
     let mut calls = Series::new("calls of the key-value service", "calls/s by servers held");
     for count in STEWARDED {
         let control = Control::start(count)?;
-        let (cpu, before) = (seconds_of(CONTROL_THREADS), control.fleet.kv.calls());
+        let (cpu, before) = (seconds_of(CONTROL_THREADS), control.fleet.kv.call_counts());
         std::thread::sleep(WATCHED);
-        let after = control.fleet.kv.calls();
+        let after = control.fleet.kv.call_counts();
         let seconds = WATCHED.as_secs_f64();
         time.add(count, (seconds_of(CONTROL_THREADS) - cpu) / seconds * 100.0);
         let total =
-            |calls: savoryport_standin::kv::Calls| calls.reads + calls.writes + calls.watches;
+            |calls: savoryport_standin::kv::CallCounts| calls.reads + calls.writes + calls.watches;
         calls.add(count, (total(after) - total(before)) as f64 / seconds);
     }
     Ok(vec![time, calls])
--- a/savoryport_standin/src/kv.rs
+++ b/savoryport_standin/src/kv.rs
@@ -35,7 +35,7 @@
 
 /// How many calls the service has had.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Calls {
+pub struct CallCounts {
     /// Reads.
     pub reads: u64,
     /// Writes, leases included.
@@ -72,9 +72,9 @@
     leases: HashMap<i64, LeaseState>,
     last_lease: i64,
     faults: Faults,
-    calls: Calls,
+    calls: CallCounts,
     second: Option<Instant>,
-    in_second: Calls,
+    in_second: CallCounts,
 }
 
 struct Shared {
@@ -109,7 +109,7 @@
     }
 
     /// Returns how many calls there were.
-    pub fn calls(&self) -> Calls {
+    pub fn call_counts(&self) -> CallCounts {
         self.shared.lock().calls
     }
 
@@ -174,7 +174,7 @@
     fn is_over_rate(&mut self, now: Instant, is_write: bool) -> bool {
         if self.second.is_none_or(|start| now - start >= Duration::from_secs(1)) {
             self.second = Some(now);
-            self.in_second = Calls::default();
+            self.in_second = CallCounts::default();
         }
         let (count, limit) = if is_write {
             (&mut self.in_second.writes, self.faults.max_writes_per_second)
