--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -101,7 +101,7 @@
         let ledger_has_all_items = || {
             let record = site.fleet.kv.value(&key).unwrap();
             let record: ServerRecord = serde_json::from_slice(&record).unwrap();
-            engine.loaded().iter().all(|item| record.get(item).is_some())
+            engine.loaded_items().iter().all(|item| record.get(item).is_some())
         };
         wait_for(
             "the ledger to contain every loaded item",
--- a/savoryport/tests/site/mod.rs
+++ b/savoryport/tests/site/mod.rs
@@ -241,7 +241,7 @@
 
     /// Returns the indices of the engines that have a model loaded.
     pub fn engines_with(&self, model: &str) -> Vec<usize> {
-        let has = |engine: &EngineStandin| engine.loaded().contains(model);
+        let has = |engine: &EngineStandin| engine.loaded_items().contains(model);
         (0..self.engine_proxies.len()).filter(|index| has(&self.fleet.engines[*index])).collect()
     }
 
--- a/savoryport_bench/src/bin/demo.rs
+++ b/savoryport_bench/src/bin/demo.rs
@@ -106,8 +106,11 @@
     let rows = savoryport_core::table::parse_csv(TABLE.as_bytes())?;
     let started = Instant::now();
     loop {
-        let loaded: Vec<_> =
-            fleet.engines.iter().map(savoryport_standin::engine::EngineStandin::loaded).collect();
+        let loaded: Vec<_> = fleet
+            .engines
+            .iter()
+            .map(savoryport_standin::engine::EngineStandin::loaded_items)
+            .collect();
         let items = rows.iter().filter(|row| row.memory_mib > 0);
         let missing = items.filter(|row| !loaded.iter().any(|set| set.contains(&row.name))).count();
         if missing == 0 {
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -384,7 +384,11 @@
 
     fn wait_for_loads(&self, engines: usize) {
         let loaded = || -> usize {
-            self.fleet.engines.iter().map(|engine| usize::from(!engine.loaded().is_empty())).sum()
+            self.fleet
+                .engines
+                .iter()
+                .map(|engine| usize::from(!engine.loaded_items().is_empty()))
+                .sum()
         };
         let started = Instant::now();
         while loaded() < engines && started.elapsed() < Duration::from_secs(60) {
--- a/savoryport_standin/src/engine.rs
+++ b/savoryport_standin/src/engine.rs
@@ -152,7 +152,7 @@
     }
 
     /// Returns the names of what answers.
-    pub fn loaded(&self) -> BTreeSet<Name> {
+    pub fn loaded_items(&self) -> BTreeSet<Name> {
         let state = self.shared.lock();
         let ready = state.items.iter().filter(|(_, item)| item.is_ready);
         ready.map(|(name, _)| name.clone()).collect()
