--- a/savoryport/tests/faults.rs
+++ b/savoryport/tests/faults.rs
@@ -89,9 +89,9 @@
 fn orders_without_answers_are_repeated_and_overcommit_nothing() {
     let site = Site::start();
     for engine in &site.fleet.engines {
-        engine.set_faults(|faults| faults.lose_order_answers = 2);
+        engine.set_faults(|faults| faults.order_responses_to_drop = 2);
     }
-    site.fleet.kv.set_faults(|faults| faults.lose_write_answers = 3);
+    site.fleet.kv.set_faults(|faults| faults.write_responses_to_drop = 3);
     site.apply(&larger_table(), false).unwrap();
     wait_for("the new model", TAKEN_OVER_WITHIN, || !site.engines_with("extra").is_empty());
     site.assert_no_overcommitment();
@@ -229,7 +229,7 @@
 #[test]
 fn a_change_whose_answers_are_lost_is_settled_and_counted_once() {
     let site = Site::start();
-    site.fleet.kv.set_faults(|faults| faults.lose_write_answers = 1);
+    site.fleet.kv.set_faults(|faults| faults.write_responses_to_drop = 1);
     let accepted = site.apply(&larger_table(), false).unwrap();
     assert_eq!(accepted, "accepted as version 2");
     assert!(table::get(&site.options(), None).unwrap().contains("extra"));
--- a/savoryport/tests/requests.rs
+++ b/savoryport/tests/requests.rs
@@ -33,7 +33,7 @@
 fn a_stream_that_breaks_in_the_middle_is_resumed_whole() {
     let site = Site::start();
     for engine in &site.fleet.engines {
-        engine.set_faults(|faults| faults.break_streams = 1);
+        engine.set_faults(|faults| faults.streams_to_break = 1);
     }
     let result = read_stream(site.stream(0, "quick", "broken in the middle", 12));
     assert_eq!(result.tokens, expected_tokens("broken in the middle", 12));
@@ -93,7 +93,7 @@
     let site = Site::start();
     let ticket = site.ticket(0);
     for service in &site.fleet.services {
-        service.set_faults(|faults| faults.lose_answers = 1);
+        service.set_faults(|faults| faults.responses_to_drop = 1);
     }
     let first = site.capture(0, (TICKET_HEADER, &ticket)).unwrap();
     assert_eq!((first.status, first.outcome.as_str()), (502, "unknown"));
@@ -202,7 +202,7 @@
 fn a_table_change_of_repeatable_does_not_repeat_a_request_under_way() {
     let site = Site::start();
     for service in &site.fleet.services {
-        service.set_faults(|faults| faults.lose_answers = 1);
+        service.set_faults(|faults| faults.responses_to_drop = 1);
     }
     let ticket = site.ticket(0);
     thread::scope(|scope| {
--- a/savoryport_platform/tests/engine_contract.rs
+++ b/savoryport_platform/tests/engine_contract.rs
@@ -75,7 +75,7 @@
 fn an_order_without_an_answer_is_an_error_and_may_have_been_carried_out() {
     let engine = engine(true);
     let client = EngineClient::new(engine.address(), TIMEOUT);
-    engine.set_faults(|faults| faults.lose_order_answers = 1);
+    engine.set_faults(|faults| faults.order_responses_to_drop = 1);
     let lost = client.order(&order(1, OrderKind::Load, "a"));
     assert_matches!(lost, Err(EngineError::Unanswered { .. }));
     wait_until_loaded(&client, "a");
--- a/savoryport_platform/tests/kv_contract.rs
+++ b/savoryport_platform/tests/kv_contract.rs
@@ -87,7 +87,7 @@
     assert_matches!(kv.watch("a", 0, Duration::ZERO), Err(KvError::Unanswered(_)));
     standin.set_faults(|faults| {
         faults.down = false;
-        faults.lose_write_answers = 1;
+        faults.write_responses_to_drop = 1;
     });
     assert_matches!(kv.put_if("a", b"1", 0, None), Err(KvError::Unanswered(_)));
     assert_eq!(kv.get("a").unwrap().unwrap().value, b"1", "the write took effect");
--- a/savoryport_standin/src/engine.rs
+++ b/savoryport_standin/src/engine.rs
@@ -64,9 +64,9 @@
     /// New work is refused.
     pub draining: bool,
     /// So many orders are carried out without an answer.
-    pub lose_order_answers: u32,
+    pub order_responses_to_drop: u32,
     /// So many streams break after their second token.
-    pub break_streams: u32,
+    pub streams_to_break: u32,
 }
 
 /// What the engine counted.
@@ -214,8 +214,8 @@
         }
     }
     let answer = shared.engine_state(&state);
-    let is_lost = state.faults.lose_order_answers > 0;
-    state.faults.lose_order_answers -= u32::from(is_lost);
+    let is_lost = state.faults.order_responses_to_drop > 0;
+    state.faults.order_responses_to_drop -= u32::from(is_lost);
     drop(state);
     if is_lost {
         return lose_answer(req);
@@ -383,8 +383,8 @@
 
 fn take_broken_stream(shared: &Shared) -> bool {
     let mut state = shared.lock();
-    let is_broken = state.faults.break_streams > 0;
-    state.faults.break_streams -= u32::from(is_broken);
+    let is_broken = state.faults.streams_to_break > 0;
+    state.faults.streams_to_break -= u32::from(is_broken);
     is_broken
 }
 
--- a/savoryport_standin/src/kv.rs
+++ b/savoryport_standin/src/kv.rs
@@ -26,7 +26,7 @@
     /// Each call takes this long.
     pub delay: Duration,
     /// So many writes take effect without an answer.
-    pub lose_write_answers: u32,
+    pub write_responses_to_drop: u32,
     /// The most reads a second; others are refused with status 429. None is no limit.
     pub max_reads_per_second: Option<u32>,
     /// The most writes a second; others are refused with status 429. None is no limit.
@@ -218,9 +218,9 @@
         drop(state);
         return answer_json(req, 404, &json!({ "error": "unknown call" }));
     };
-    let is_lost = is_write && state.faults.lose_write_answers > 0;
+    let is_lost = is_write && state.faults.write_responses_to_drop > 0;
     if is_lost {
-        state.faults.lose_write_answers -= 1;
+        state.faults.write_responses_to_drop -= 1;
     }
     drop(state);
     shared.changed.notify_all();
--- a/savoryport_standin/src/service.rs
+++ b/savoryport_standin/src/service.rs
@@ -16,7 +16,7 @@
     /// Each execution takes this long.
     pub delay: Duration,
     /// So many executions end without an answer.
-    pub lose_answers: u32,
+    pub responses_to_drop: u32,
     /// Requests are refused with status 503 before they run.
     pub draining: bool,
 }
@@ -48,8 +48,8 @@
                     return refuse_draining(req);
                 }
                 *state.executions.entry(id.clone()).or_default() += 1;
-                let is_lost = state.faults.lose_answers > 0;
-                state.faults.lose_answers -= u32::from(is_lost);
+                let is_lost = state.faults.responses_to_drop > 0;
+                state.faults.responses_to_drop -= u32::from(is_lost);
                 (state.faults.delay, is_lost)
             };
             thread::sleep(delay);
