--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -57,7 +57,7 @@
 #[test]
 fn a_request_that_may_not_repeat_runs_once_and_is_never_said_not_to_have_run() {
     let site = NodeSite::start(1);
-    for fault in [BackendFault::LosesAnswers, BackendFault::WrongRequestId] {
+    for fault in [BackendFault::DropsResponses, BackendFault::WrongRequestId] {
         for server in ["plain-0", "plain-1", "plain-2"] {
             site.server(server).set_fault(fault);
         }
@@ -312,7 +312,7 @@
 #[test]
 fn lost_answers_of_the_store_leave_one_holder() {
     let mut site = NodeSite::start(2);
-    site.store.set_mode(StoreMode::LosesAnswers);
+    site.store.set_mode(StoreMode::DropsResponses);
     site.nodes[0].signal(Signal::KILL);
     let _ = site.nodes[0].wait_for_exit();
     std::thread::sleep(Duration::from_millis(2_500));
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -150,7 +150,7 @@
         }
         3 => {
             let modes =
-                [StoreMode::Busy, StoreMode::Silent, StoreMode::LosesAnswers, StoreMode::Up];
+                [StoreMode::Busy, StoreMode::Silent, StoreMode::DropsResponses, StoreMode::Up];
             site.store.set_mode(modes[rng.random_range(0..modes.len())]);
         }
         4 => {
@@ -165,7 +165,7 @@
         5 => {
             let faults = [
                 BackendFault::Full,
-                BackendFault::LosesAnswers,
+                BackendFault::DropsResponses,
                 BackendFault::BreaksStreams,
                 BackendFault::Fails,
                 BackendFault::WrongRequestId,
--- a/savoryport_standin/src/backend.rs
+++ b/savoryport_standin/src/backend.rs
@@ -45,7 +45,7 @@
     /// It refuses requests as full.
     Full,
     /// It runs requests and their answers are lost.
-    LosesAnswers,
+    DropsResponses,
     /// It breaks a stream off in the middle of its third event.
     BreaksStreams,
     /// It pauses once before this event of each stream.
@@ -276,7 +276,7 @@
         state.fault
     };
     match fault {
-        BackendFault::LosesAnswers => {
+        BackendFault::DropsResponses => {
             thread::sleep(cfg.event_interval);
             lose_answer(req);
         }
--- a/savoryport_standin/src/metadata.rs
+++ b/savoryport_standin/src/metadata.rs
@@ -22,7 +22,7 @@
     /// It does nothing and says nothing.
     Silent,
     /// It does what it is asked, and the answers to writes are lost.
-    LosesAnswers,
+    DropsResponses,
 }
 
 #[derive(Debug, Clone)]
@@ -201,7 +201,7 @@
     match mode {
         StoreMode::Busy => return answer_json(req, 503, &json!({})),
         StoreMode::Silent => return lose_answer(req),
-        StoreMode::Up | StoreMode::LosesAnswers => {}
+        StoreMode::Up | StoreMode::DropsResponses => {}
     }
     let (status, answer) = match (req.method(), path) {
         (Method::Get, "/savoryport/kv-range") => range(shared, &query),
@@ -222,7 +222,7 @@
         },
         _ => (404, json!({})),
     };
-    if mode == StoreMode::LosesAnswers && *req.method() != Method::Get {
+    if mode == StoreMode::DropsResponses && *req.method() != Method::Get {
         return lose_answer(req);
     }
     answer_json(req, status, &answer);
