--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -84,7 +84,7 @@
 #[test]
 fn idempotent_request_is_retried_after_a_server_error() {
     let site = NodeSite::start(1);
-    site.server("plain-0").set_fault(BackendFault::Fails);
+    site.server("plain-0").set_fault(BackendFault::InternalError);
     for number in 0..12 {
         assert_eq!(site.send(0, &format!("f-{number}"), RequestKind::Idempotent).status, 200);
     }
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -167,7 +167,7 @@
                 BackendFault::Full,
                 BackendFault::DropsResponses,
                 BackendFault::BreaksStreams,
-                BackendFault::Fails,
+                BackendFault::InternalError,
                 BackendFault::WrongRequestId,
                 BackendFault::IgnoresOrders,
             ];
--- a/savoryport_standin/src/backend.rs
+++ b/savoryport_standin/src/backend.rs
@@ -56,7 +56,7 @@
         pause: Duration,
     },
     /// It answers with a failure of its own.
-    Fails,
+    InternalError,
     /// It answers with the id of another request.
     WrongRequestId,
     /// It leaves orders without an answer and does not carry them out.
@@ -280,7 +280,7 @@
             thread::sleep(cfg.event_interval);
             lose_answer(req);
         }
-        BackendFault::Fails => answer(req, cfg, 500, &id, "failed"),
+        BackendFault::InternalError => answer(req, cfg, 500, &id, "failed"),
         BackendFault::WrongRequestId => answer(req, cfg, 200, "somebody-else", "not yours"),
         _ if asked.is_some() => stream(req, cfg, &id, fault),
         _ => {
