--- a/savoryport_standin/src/backend.rs
+++ b/savoryport_standin/src/backend.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the platform's backend servers: plain services and model engines.
 //!
-//! It counts by itself what the promises are about: how often each request ran, which orders came from
-//! whom, and whether memory was overcommit_count.
+//! It keeps its own counts of what the guarantees are about: how often each request ran, which
+//! orders came from which leader, and how often memory was overcommitted.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
@@ -12,54 +12,54 @@
 use serde_json::{Value, json};
 use tiny_http::{Header, Method, Request, Response};
 
-use crate::http::{Running, answer_json, header, lose_answer, read_body};
+use crate::http::{HttpServer, drop_response, header, read_body, respond_json};
 use crate::metadata::MetadataStandin;
 
-/// What a server is.
+/// The configuration of a server.
 #[derive(Debug, Clone)]
 pub struct BackendConfig {
-    /// Its id in the registry.
+    /// The id in the registry.
     pub id: String,
-    /// The service that it belongs to.
+    /// The service that the server belongs to.
     pub service: String,
-    /// Its failure domain.
+    /// The failure domain of the server.
     pub failure_domain: String,
-    /// Models that it holds at first, for an engine.
+    /// The models that an engine has loaded at the start; empty for a plain service.
     pub models: Vec<String>,
-    /// Adapters that it holds at most.
+    /// The number of adapters that fit into memory, over all models.
     pub adapter_capacity: usize,
-    /// Models that it holds at most.
+    /// The number of models that fit into memory.
     pub model_capacity: usize,
-    /// Events of each stream.
+    /// The number of events in each stream.
     pub events_per_stream: u64,
-    /// The pause between two events, and the work of a plain request.
+    /// The time after each event of a stream, and the execution time of a plain request.
     pub event_interval: Duration,
 }
 
-/// What a server does wrong.
+/// The fault that a server shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum BackendFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It refuses requests as full.
+    /// Rejects requests with status 503, as a server at its limit does.
     Full,
-    /// It runs requests and their answers are lost.
+    /// Runs requests but sends no response.
     DropsResponses,
-    /// It breaks a stream off in the middle of its third event.
+    /// Breaks off each stream in the middle of the third event.
     BreaksStreams,
-    /// It pauses once before this event of each stream.
+    /// Pauses each stream once.
     Stalls {
-        /// The event, counted from 1.
+        /// The number of the event that the pause comes before, counted from 1.
         before_event: u64,
-        /// The pause.
+        /// The length of the pause.
         pause: Duration,
     },
-    /// It answers with a failure of its own.
+    /// Runs requests and responds with status 500.
     InternalError,
-    /// It answers with the id of another request.
+    /// Runs requests and responds with the id of another request.
     WrongRequestId,
-    /// It leaves orders without an answer and does not carry them out.
+    /// Neither executes orders nor responds to them.
     IgnoresOrders,
 }
 
@@ -68,158 +68,165 @@
     fault: BackendFault,
     runs: HashMap<String, u32>,
     orders: Vec<ReceivedOrder>,
-    accepted: u64,
+    accepted_orders: u64,
     models: BTreeMap<String, Vec<String>>,
     overcommit_count: u32,
 }
 
-/// An order that came.
+/// An order that the server received.
 #[derive(Debug, Clone)]
 pub struct ReceivedOrder {
-    /// Who gave it.
+    /// The node that sent it.
     pub holder: String,
-    /// Its fencing token.
+    /// The fencing token of the order.
     pub fencing_token: u64,
-    /// When it came.
+    /// When it arrived.
     pub received_at: Instant,
 }
 
-/// A running server.
+/// A running backend server.
 pub struct BackendStandin {
     config: BackendConfig,
     state: Arc<Mutex<State>>,
-    running: Running,
+    server: HttpServer,
     store: MetadataStandin,
-    born: u64,
+    incarnation: u64,
 }
 
 impl BackendStandin {
-    /// Listens on an address and registers in the store.
+    /// Listens on an address and registers the server in the metadata store.
     ///
     /// # Panics
     ///
-    /// Panics where the address cannot be listened on.
-    pub fn start(address: &str, config: BackendConfig, store: &MetadataStandin, born: u64) -> Self {
+    /// Panics if it cannot listen on the address.
+    pub fn start(
+        address: &str,
+        config: BackendConfig,
+        store: &MetadataStandin,
+        incarnation: u64,
+    ) -> Self {
         let models = config.models.iter().map(|model| (model.clone(), Vec::new())).collect();
         let state = Arc::new(Mutex::new(State { models, ..State::default() }));
-        let (serving, cfg) = (state.clone(), config.clone());
-        let running = Running::start(address, move |req| serve(&serving, &cfg, born, req));
-        let standin = Self { config, state, running, store: store.clone(), born };
+        let (handler_state, handler_config) = (state.clone(), config.clone());
+        let server = HttpServer::start(address, move |req| {
+            handle(&handler_state, &handler_config, incarnation, req)
+        });
+        let standin = Self { config, state, server, store: store.clone(), incarnation };
         standin.register("ready");
         standin
     }
 
-    /// Writes the server's entry with this state.
+    /// Writes the server's registry entry with the given state.
     pub fn register(&self, state: &str) {
-        let models = models_of(&self.lock().models);
+        let models = models_json(&self.lock().models);
         let entry = json!({
             "service": self.config.service,
-            "address": self.running.address(),
+            "address": self.server.address(),
             "zone": self.config.failure_domain,
             "slots": 64,
             "state": state,
-            "born": self.born,
+            "born": self.incarnation,
             "models": models,
             "sequence": 1,
         });
         self.store.write(&format!("servers/{}", self.config.id), &entry);
     }
 
-    /// Removes the server's entry.
+    /// Removes the server's registry entry.
     pub fn deregister(&self) {
         self.store.remove(&format!("servers/{}", self.config.id));
     }
 
-    /// Changes what it does wrong.
+    /// Replaces the current fault.
     pub fn set_fault(&self, fault: BackendFault) {
         self.lock().fault = fault;
     }
 
-    /// Returns how often the request ran.
+    /// Returns how often the request with this id ran.
     pub fn runs_of(&self, request: &str) -> u32 {
         self.lock().runs.get(request).copied().unwrap_or(0)
     }
 
-    /// Returns how often each request ran.
+    /// Returns how often each request ran, by request id.
     pub fn runs(&self) -> HashMap<String, u32> {
         self.lock().runs.clone()
     }
 
-    /// Returns the orders that came.
+    /// Returns the received orders, oldest first.
     pub fn orders(&self) -> Vec<ReceivedOrder> {
         self.lock().orders.clone()
     }
 
-    /// Returns how often it was told to hold more than fits.
+    /// Returns after how many executed orders the loaded items exceeded a capacity.
     pub fn overcommit_count(&self) -> u32 {
         self.lock().overcommit_count
     }
 
-    /// Returns its id.
+    /// Returns the id in the registry.
     pub fn id(&self) -> &str {
         &self.config.id
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no thread panics while holding the lock")
     }
 }
 
-fn models_of(models: &BTreeMap<String, Vec<String>>) -> Vec<Value> {
+fn models_json(models: &BTreeMap<String, Vec<String>>) -> Vec<Value> {
     models
         .iter()
         .map(|(name, adapters)| json!({ "name": name, "version": 1, "adapters": adapters }))
         .collect()
 }
 
-fn serve(state: &Mutex<State>, cfg: &BackendConfig, born: u64, mut req: Request) {
+fn handle(state: &Mutex<State>, cfg: &BackendConfig, incarnation: u64, mut req: Request) {
     let body = read_body(&mut req);
     match (req.method(), req.url()) {
-        (Method::Get, "/savoryport/report") => report(state, born, req),
-        (Method::Post, "/savoryport/order") => order(state, cfg, &body, req),
-        _ => run(state, cfg, req),
+        (Method::Get, "/savoryport/report") => send_report(state, incarnation, req),
+        (Method::Post, "/savoryport/order") => handle_order(state, cfg, &body, req),
+        _ => run_request(state, cfg, req),
     }
 }
 
-fn report(state: &Mutex<State>, born: u64, req: Request) {
-    let state = state.lock().expect("no holder panics");
-    let answer = json!({
-        "born": born,
+fn send_report(state: &Mutex<State>, incarnation: u64, req: Request) {
+    let state = state.lock().expect("no thread panics while holding the lock");
+    let report = json!({
+        "born": incarnation,
         "stage": "both",
-        "models": models_of(&state.models),
+        "models": models_json(&state.models),
         "busy": false,
-        "sequence": state.accepted,
+        "sequence": state.accepted_orders,
         "pending": [],
     });
     drop(state);
-    answer_json(req, 200, &answer);
+    respond_json(req, 200, &report);
 }
 
-fn order(state: &Mutex<State>, cfg: &BackendConfig, body: &[u8], req: Request) {
+fn handle_order(state: &Mutex<State>, cfg: &BackendConfig, body: &[u8], req: Request) {
     let order: Value = serde_json::from_slice(body).unwrap_or_default();
-    let mut state = state.lock().expect("no holder panics");
+    let mut state = state.lock().expect("no thread panics while holding the lock");
     if state.fault == BackendFault::IgnoresOrders {
         drop(state);
-        return lose_answer(req);
+        return drop_response(req);
     }
     state.orders.push(ReceivedOrder {
         holder: order["holder"].as_str().unwrap_or_default().to_owned(),
         fencing_token: order["fencingToken"].as_u64().unwrap_or(0),
         received_at: Instant::now(),
     });
-    let status = state.carry_out(cfg, &order);
+    let status = state.execute_order(cfg, &order);
     drop(state);
-    answer_json(req, status, &json!({}));
+    respond_json(req, status, &json!({}));
 }
 
 impl State {
-    fn carry_out(&mut self, cfg: &BackendConfig, order: &Value) -> u16 {
-        if order["precondition"].as_u64().is_some_and(|expected| expected != self.accepted) {
+    fn execute_order(&mut self, cfg: &BackendConfig, order: &Value) -> u16 {
+        if order["precondition"].as_u64().is_some_and(|expected| expected != self.accepted_orders) {
             return 409;
         }
         let model = order["model"].as_str().unwrap_or_default().to_owned();
         let adapter = order["adapter"].as_str().map(str::to_owned);
-        self.accepted += 1;
+        self.accepted_orders += 1;
         match (order["operation"].as_str(), adapter) {
             (Some("load"), None) => {
                 self.models.entry(model).or_default();
@@ -228,49 +235,51 @@
                 self.models.remove(&model);
             }
             (Some("load"), Some(adapter)) => match self.models.get_mut(&model) {
-                Some(held) => held.push(adapter),
+                Some(adapters) => adapters.push(adapter),
                 None => return 400,
             },
             (Some("unload"), Some(adapter)) => {
-                if let Some(held) = self.models.get_mut(&model) {
-                    held.retain(|name| *name != adapter);
+                if let Some(adapters) = self.models.get_mut(&model) {
+                    adapters.retain(|name| *name != adapter);
                 }
                 return 200;
             }
             _ => return 400,
         }
-        let adapters: usize = self.models.values().map(Vec::len).sum();
-        if adapters > cfg.adapter_capacity || self.models.len() > cfg.model_capacity {
+        let adapter_count: usize = self.models.values().map(Vec::len).sum();
+        if adapter_count > cfg.adapter_capacity || self.models.len() > cfg.model_capacity {
             self.overcommit_count += 1;
         }
         202
     }
 
-    fn holds(&self, target: &str) -> bool {
+    fn has_loaded(&self, target: &str) -> bool {
         match target.split_once('/') {
-            Some((model, adapter)) => {
-                self.models.get(model).is_some_and(|held| held.iter().any(|name| name == adapter))
-            }
+            Some((model, adapter)) => self
+                .models
+                .get(model)
+                .is_some_and(|adapters| adapters.iter().any(|name| name == adapter)),
             None => self.models.contains_key(target),
         }
     }
 }
 
-fn run(state: &Mutex<State>, cfg: &BackendConfig, req: Request) {
+fn run_request(state: &Mutex<State>, cfg: &BackendConfig, req: Request) {
     let id = header(&req, "x-attempt-id").unwrap_or_default();
-    let asked = header(&req, "x-model");
+    let target = header(&req, "x-model");
     let fault = {
-        let mut state = state.lock().expect("no holder panics");
-        let other = header(&req, "x-expect-instance").is_some_and(|expected| expected != cfg.id);
-        let is_absent = asked.as_deref().is_some_and(|asked| !state.holds(asked));
+        let mut state = state.lock().expect("no thread panics while holding the lock");
+        let is_other_server =
+            header(&req, "x-expect-instance").is_some_and(|expected| expected != cfg.id);
+        let is_not_loaded = target.as_deref().is_some_and(|target| !state.has_loaded(target));
         let status = match state.fault {
-            _ if other || is_absent => Some(421),
+            _ if is_other_server || is_not_loaded => Some(421),
             BackendFault::Full => Some(503),
             _ => None,
         };
         if let Some(status) = status {
             drop(state);
-            return refuse(req, status);
+            return reject(req, status);
         }
         *state.runs.entry(id.clone()).or_default() += 1;
         state.fault
@@ -278,36 +287,37 @@
     match fault {
         BackendFault::DropsResponses => {
             thread::sleep(cfg.event_interval);
-            lose_answer(req);
+            drop_response(req);
         }
-        BackendFault::InternalError => answer(req, cfg, 500, &id, "failed"),
-        BackendFault::WrongRequestId => answer(req, cfg, 200, "somebody-else", "not yours"),
-        _ if asked.is_some() => stream(req, cfg, &id, fault),
+        BackendFault::InternalError => respond(req, cfg, 500, &id, "failed"),
+        BackendFault::WrongRequestId => respond(req, cfg, 200, "somebody-else", "not yours"),
+        _ if target.is_some() => stream_events(req, cfg, &id, fault),
         _ => {
             thread::sleep(cfg.event_interval);
-            answer(req, cfg, 200, &id, &format!("answer to {id}"));
+            respond(req, cfg, 200, &id, &format!("answer to {id}"));
         }
     }
 }
 
-fn refuse(req: Request, status: u16) {
-    let not_run = Header::from_bytes("X-Not-Executed", "1").expect("plain ASCII");
-    let _ = req.respond(Response::from_string("").with_status_code(status).with_header(not_run));
+fn reject(req: Request, status: u16) {
+    let not_executed = Header::from_bytes("X-Not-Executed", "1").expect("plain ASCII");
+    let _ =
+        req.respond(Response::from_string("").with_status_code(status).with_header(not_executed));
 }
 
-fn answer(req: Request, cfg: &BackendConfig, status: u16, id: &str, body: &str) {
+fn respond(req: Request, cfg: &BackendConfig, status: u16, id: &str, body: &str) {
     let headers = [("X-Attempt-Id", id), ("X-Server-Stamp", &*format!("stamp.{}", cfg.id))]
         .map(|(name, value)| Header::from_bytes(name, value).expect("plain ASCII"));
-    let mut answer = Response::from_string(body).with_status_code(status);
+    let mut response = Response::from_string(body).with_status_code(status);
     for header in headers {
-        answer = answer.with_header(header);
+        response = response.with_header(header);
     }
-    let _ = req.respond(answer);
+    let _ = req.respond(response);
 }
 
-fn stream(req: Request, cfg: &BackendConfig, id: &str, fault: BackendFault) {
-    /// The event that a server breaks off in.
-    const BREAKS_AT: u64 = 3;
+fn stream_events(req: Request, cfg: &BackendConfig, id: &str, fault: BackendFault) {
+    /// The event in which [`BackendFault::BreaksStreams`] breaks off, counted from 1.
+    const BREAK_EVENT: u64 = 3;
     let first = header(&req, "last-event-id").and_then(|last| last.parse().ok()).unwrap_or(0) + 1;
     let mut writer = req.into_writer();
     let mut head = format!(
@@ -316,19 +326,19 @@
         cfg.id
     );
     for event in first..=cfg.events_per_stream {
-        let mut piece = format!("id: {event}\ndata: event {event} of {id}\n\n");
+        let mut payload = format!("id: {event}\ndata: event {event} of {id}\n\n");
         if let BackendFault::Stalls { before_event, pause } = fault
             && before_event == event
         {
             std::thread::sleep(pause);
         }
-        let breaks = fault == BackendFault::BreaksStreams && event == BREAKS_AT;
-        if breaks {
-            piece.truncate(piece.len() / 2);
+        let breaks_off = fault == BackendFault::BreaksStreams && event == BREAK_EVENT;
+        if breaks_off {
+            payload.truncate(payload.len() / 2);
         }
         let head = std::mem::take(&mut head);
-        let chunk = format!("{head}{:x}\r\n{piece}\r\n", piece.len());
-        if writer.write_all(chunk.as_bytes()).is_err() || writer.flush().is_err() || breaks {
+        let chunk = format!("{head}{:x}\r\n{payload}\r\n", payload.len());
+        if writer.write_all(chunk.as_bytes()).is_err() || writer.flush().is_err() || breaks_off {
             return;
         }
         thread::sleep(cfg.event_interval);
--- a/savoryport_standin/src/engine.rs
+++ b/savoryport_standin/src/engine.rs
@@ -14,7 +14,9 @@
 use serde_json::json;
 use tiny_http::Request;
 
-use crate::http::{Chunked, Running, answer_json, lose_answer, read_body, refuse_draining};
+use crate::http::{
+    ChunkedResponse, HttpServer, drop_response, read_body, reject_draining, respond_json,
+};
 
 /// The prefixes that the cache holds.
 const CACHED_PREFIXES: usize = 64;
@@ -114,7 +116,7 @@
 
 /// A running engine.
 pub struct EngineStandin {
-    running: Running,
+    running: HttpServer,
     shared: Arc<Shared>,
 }
 
@@ -124,7 +126,7 @@
         let state = State { incarnation, ..State::default() };
         let shared = Arc::new(Shared { cfg, state: Mutex::new(state), changed: Condvar::new() });
         let handling = shared.clone();
-        let running = Running::start(address, move |req| handle(&handling, req));
+        let running = HttpServer::start(address, move |req| handle(&handling, req));
         Self { running, shared }
     }
 
@@ -161,7 +163,7 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no thread panics while holding the lock")
     }
 
     fn engine_state(&self, state: &State) -> EngineState {
@@ -184,21 +186,21 @@
     match req.url() {
         "/v1/completions" | "/v1/chat/completions" => match serde_json::from_slice(&body) {
             Ok(completion) => complete(shared, req, &completion),
-            Err(err) => answer_json(req, 400, &json!({ "error": err.to_string() })),
+            Err(err) => respond_json(req, 400, &json!({ "error": err.to_string() })),
         },
         "/admin/orders" => match serde_json::from_slice(&body) {
             Ok(order) => take_order(shared, req, order),
-            Err(err) => answer_json(req, 400, &json!({ "error": err.to_string() })),
+            Err(err) => respond_json(req, 400, &json!({ "error": err.to_string() })),
         },
         "/admin/state" => {
             let answer = shared.engine_state(&shared.lock());
-            answer_json(req, 200, &answer);
+            respond_json(req, 200, &answer);
         }
         "/admin/load" => {
             let answer = load_report(shared);
-            answer_json(req, 200, &answer);
+            respond_json(req, 200, &answer);
         }
-        _ => answer_json(req, 404, &json!({ "error": "unknown call" })),
+        _ => respond_json(req, 404, &json!({ "error": "unknown call" })),
     }
 }
 
@@ -218,9 +220,9 @@
     state.faults.order_responses_to_drop -= u32::from(is_lost);
     drop(state);
     if is_lost {
-        return lose_answer(req);
+        return drop_response(req);
     }
-    answer_json(req, if was_taken { 200 } else { 409 }, &answer);
+    respond_json(req, if was_taken { 200 } else { 409 }, &answer);
 }
 
 /// Begins a load; the memory is taken at once, whether or not there is room.
@@ -328,10 +330,10 @@
 
 fn refuse(shared: &Shared, req: Request, completion: &CompletionRequest) {
     if shared.lock().faults.draining {
-        refuse_draining(req);
+        reject_draining(req);
     } else {
         let error = format!("model {} is not loaded", completion.model);
-        answer_json(req, 404, &json!({ "error": error }));
+        respond_json(req, 404, &json!({ "error": error }));
     }
 }
 
@@ -341,7 +343,7 @@
     let ticket = (priority, state.arrivals);
     state.waiting.insert(ticket);
     while state.running >= shared.cfg.slots || state.waiting.first() != Some(&ticket) {
-        state = shared.changed.wait(state).expect("no holder panics");
+        state = shared.changed.wait(state).expect("no thread panics while holding the lock");
     }
     state.waiting.remove(&ticket);
     state.running += 1;
@@ -363,7 +365,7 @@
 }
 
 fn stream_tokens(shared: &Shared, req: Request, completion: &CompletionRequest) -> bool {
-    let mut stream = Chunked::start(req, "text/event-stream");
+    let mut stream = ChunkedResponse::start(req, "text/event-stream");
     for at in completion.resume_from..completion.max_tokens {
         if at > completion.resume_from {
             thread::sleep(shared.cfg.token_time);
@@ -392,6 +394,6 @@
     let tokens = completion.resume_from..completion.max_tokens;
     thread::sleep(shared.cfg.token_time * tokens.len() as u32);
     let text: String = tokens.map(|at| token(completion, at)).collect();
-    answer_json(req, 200, &answer(completion, text, true));
+    respond_json(req, 200, &answer(completion, text, true));
     true
 }
--- a/savoryport_standin/src/http.rs
+++ b/savoryport_standin/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server that ends with its handle.
+//! A small HTTP server and helpers for its handlers, which the stand-ins are built on.
 
 use std::io::{self, Read, Write};
 use std::sync::Arc;
@@ -8,97 +8,98 @@
 use serde::Serialize;
 use tiny_http::{Header, Request, Response, Server};
 
-/// The longest body that a stand-in reads, in bytes.
+/// The maximum length of a request body that is read, in bytes; the rest is ignored.
 const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// A running server; it stops when this is dropped.
-pub struct Running {
+/// A running HTTP server, which stops accepting requests when it is dropped.
+pub struct HttpServer {
     address: String,
     server: Arc<Server>,
-    thread: Option<JoinHandle<()>>,
+    accept_thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
-    /// Listens on `address` and gives each request to `handle`, on a thread of its own.
+impl HttpServer {
+    /// Listens on `address` and calls `handler` with each request, each time on a new thread.
     ///
     /// # Panics
     ///
-    /// Panics where the address cannot be listened on.
-    pub fn start(address: &str, handle: impl Fn(Request) + Send + Sync + 'static) -> Self {
+    /// Panics if it cannot listen on the address.
+    pub fn start(address: &str, handler: impl Fn(Request) + Send + Sync + 'static) -> Self {
         let server = Server::http(address).unwrap_or_else(|err| panic!("{address}: {err}"));
         let server = Arc::new(server);
         let address = server.server_addr().to_string();
-        let handle = Arc::new(handle);
-        let accepting = server.clone();
-        let thread = thread::spawn(move || {
-            for req in accepting.incoming_requests() {
-                let handle = handle.clone();
-                thread::spawn(move || handle(req));
+        let handler = Arc::new(handler);
+        let accepting_server = server.clone();
+        let accept_thread = thread::spawn(move || {
+            for req in accepting_server.incoming_requests() {
+                let handler = handler.clone();
+                thread::spawn(move || handler(req));
             }
         });
-        Self { address, server, thread: Some(thread) }
+        Self { address, server, accept_thread: Some(accept_thread) }
     }
 
-    /// Returns the IP address and port.
+    /// Returns the IP address and port that the server listens on.
     pub fn address(&self) -> &str {
         &self.address
     }
 }
 
-impl Drop for Running {
+impl Drop for HttpServer {
     fn drop(&mut self) {
         self.server.unblock();
-        if let Some(thread) = self.thread.take() {
+        if let Some(thread) = self.accept_thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// Reads the whole body.
+/// Reads the request body, up to `MAX_BODY_BYTES`. Returns what was read if reading fails.
 pub fn read_body(req: &mut Request) -> Vec<u8> {
     let mut buf = Vec::new();
     let _ = req.as_reader().take(MAX_BODY_BYTES).read_to_end(&mut buf);
     buf
 }
 
-/// Answers with JSON; a caller that has left is ignored.
-pub fn answer_json(req: Request, status: u16, body: &impl Serialize) {
-    let buf = serde_json::to_vec(body).expect("stand-ins answer plain values");
+/// Sends a JSON response. Does nothing if the client has disconnected.
+pub fn respond_json(req: Request, status: u16, body: &impl Serialize) {
+    let buf = serde_json::to_vec(body).expect("response bodies can be serialized");
     let header = Header::from_bytes("content-type", "application/json").expect("plain ASCII");
     let _ = req.respond(Response::from_data(buf).with_status_code(status).with_header(header));
 }
 
-/// Refuses new work before it starts, as a server does that is about to go.
-pub fn refuse_draining(req: Request) {
+/// Rejects a request before it runs, as a draining server does.
+pub fn reject_draining(req: Request) {
     let header = Header::from_bytes(DRAINING_HEADER, "true").expect("plain ASCII");
-    let answer = Response::from_string(r#"{"error":"draining"}"#).with_status_code(503);
-    let _ = req.respond(answer.with_header(header));
+    let response = Response::from_string(r#"{"error":"draining"}"#).with_status_code(503);
+    let _ = req.respond(response.with_header(header));
 }
 
-/// Returns the value of a header.
+/// Returns the value of a request header.
 pub fn header(req: &Request, name: &'static str) -> Option<String> {
-    let found = req.headers().iter().find(|header| header.field.equiv(name))?;
-    Some(found.value.to_string())
+    let header = req.headers().iter().find(|header| header.field.equiv(name))?;
+    Some(header.value.to_string())
 }
 
-/// Leaves a request without an answer, as if the answer were lost.
+/// Sends no response, as if it were lost on the way.
 ///
-/// The connection stays silent until the caller gives up.
-pub fn lose_answer(req: Request) {
+/// The connection stays silent until the client gives up.
+pub fn drop_response(req: Request) {
     drop(req.into_writer());
 }
 
-/// A body that is sent in pieces, each at once.
+/// A response with chunked transfer encoding, which sends each chunk immediately.
 ///
-/// The head leaves together with the first piece: the server cannot switch off Nagle's algorithm, and
-/// a second small write would wait 40 ms for the caller's delayed acknowledgement.
-pub struct Chunked {
+/// The response head is written together with the first chunk: the HTTP library offers no way to
+/// disable Nagle's algorithm, and a second small write would wait 40 ms for the client's delayed
+/// acknowledgement.
+pub struct ChunkedResponse {
     writer: Box<dyn Write + Send>,
     head: String,
 }
 
-impl Chunked {
-    /// Begins an answer.
+impl ChunkedResponse {
+    /// Prepares a response with status 200; its head is sent with the first chunk.
     pub fn start(req: Request, content_type: &str) -> Self {
         let head = format!(
             "HTTP/1.1 200 OK\r\ncontent-type: {content_type}\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -106,14 +107,15 @@
         Self { writer: req.into_writer(), head }
     }
 
-    /// Sends one piece.
+    /// Sends one chunk.
     ///
     /// # Errors
     ///
-    /// Returns an error where the caller has left; the first write after that may still succeed.
-    pub fn send(&mut self, piece: &str) -> io::Result<()> {
+    /// Returns an error if the client has disconnected. The first write after the disconnection may
+    /// still succeed.
+    pub fn send(&mut self, chunk: &str) -> io::Result<()> {
         let head = std::mem::take(&mut self.head);
-        self.writer.write_all(format!("{head}{:x}\r\n{piece}\r\n", piece.len()).as_bytes())?;
+        self.writer.write_all(format!("{head}{:x}\r\n{chunk}\r\n", chunk.len()).as_bytes())?;
         self.writer.flush()
     }
 
@@ -121,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the caller has left.
+    /// Returns an error if the client has disconnected.
     pub fn finish(mut self) -> io::Result<()> {
         self.writer.write_all(b"0\r\n\r\n")?;
         self.writer.flush()
--- a/savoryport_standin/src/kv.rs
+++ b/savoryport_standin/src/kv.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use tiny_http::Request;
 
-use crate::http::{Chunked, Running, answer_json, lose_answer, read_body};
+use crate::http::{ChunkedResponse, HttpServer, drop_response, read_body, respond_json};
 
 /// How often a watch looks whether its caller is still there.
 const WATCH_BEAT: Duration = Duration::from_millis(100);
@@ -84,7 +84,7 @@
 
 /// A running key-value service.
 pub struct KvStandin {
-    running: Running,
+    running: HttpServer,
     shared: Arc<Shared>,
 }
 
@@ -93,7 +93,7 @@
     pub fn start(address: &str) -> Self {
         let shared = Arc::new(Shared { state: Mutex::default(), changed: Condvar::new() });
         let handling = shared.clone();
-        let running = Running::start(address, move |req| handle(&handling, req));
+        let running = HttpServer::start(address, move |req| handle(&handling, req));
         Self { running, shared }
     }
 
@@ -123,7 +123,7 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no thread panics while holding the lock")
     }
 }
 
@@ -196,13 +196,13 @@
     }
     let mut state = shared.lock();
     if state.faults.down {
-        return lose_answer(req);
+        return drop_response(req);
     }
     let now = Instant::now();
     state.expire(now);
     if state.is_over_rate(now, is_write) {
         drop(state);
-        return answer_json(req, 429, &json!({ "error": "too many requests" }));
+        return respond_json(req, 429, &json!({ "error": "too many requests" }));
     }
     if path == "/v3/watch" {
         state.calls.watches += 1;
@@ -216,7 +216,7 @@
     }
     let Some(answer) = carry_out(&mut state, &path, &body, now) else {
         drop(state);
-        return answer_json(req, 404, &json!({ "error": "unknown call" }));
+        return respond_json(req, 404, &json!({ "error": "unknown call" }));
     };
     let is_lost = is_write && state.faults.write_responses_to_drop > 0;
     if is_lost {
@@ -224,7 +224,7 @@
     }
     drop(state);
     shared.changed.notify_all();
-    if is_lost { lose_answer(req) } else { answer_json(req, 200, &answer) }
+    if is_lost { drop_response(req) } else { respond_json(req, 200, &answer) }
 }
 
 fn carry_out(state: &mut State, path: &str, body: &Value, now: Instant) -> Option<Value> {
@@ -301,7 +301,7 @@
     let create = &body["create_request"];
     let (key, end) = (text(&create["key"]).to_owned(), create["range_end"].as_str());
     let mut next = number(&create["start_revision"]) as u64;
-    let mut stream = Chunked::start(req, "application/json");
+    let mut stream = ChunkedResponse::start(req, "application/json");
     loop {
         let (events, revision, is_down) = wait_for_events(shared, &key, end, next);
         if is_down {
@@ -328,7 +328,11 @@
     };
     let mut state = shared.lock();
     if find(&state).is_empty() {
-        state = shared.changed.wait_timeout(state, WATCH_BEAT).expect("no holder panics").0;
+        state = shared
+            .changed
+            .wait_timeout(state, WATCH_BEAT)
+            .expect("no thread panics while holding the lock")
+            .0;
         state.expire(Instant::now());
     }
     (find(&state), state.revision, state.faults.down)
--- a/savoryport_standin/src/lib.rs
+++ b/savoryport_standin/src/lib.rs
@@ -1,8 +1,8 @@
 //! Small stand-ins for the systems that savoryport serves, and a fault-injecting proxy.
 //!
-//! They speak the published protocols, count independently what the promises are about (memory
-//! overcommitted, executions of a request), and fail on command. They take the project's wire
-//! types, not its logic.
+//! They implement the published protocols, inject faults on demand, and keep their own counts of
+//! what the guarantees are about (overcommitted memory, executions of a request). They share the
+//! project's wire types but none of its logic, so that their counts are independent of it.
 
 pub mod backend;
 pub mod engine;
--- a/savoryport_standin/src/main.rs
+++ b/savoryport_standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs one stand-in as a separate process.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 }
 
 fn main() -> ExitCode {
-    match parse().and_then(run) {
+    match parse_args().and_then(run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("savoryport-standin: {err}\n\n{USAGE}");
@@ -47,7 +47,7 @@
     }
 }
 
-fn parse() -> Result<Options, lexopt::Error> {
+fn parse_args() -> Result<Options, lexopt::Error> {
     let mut options = Options { loads_per_second: 2.0, full_speed_loads: 8, ..Options::default() };
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
@@ -73,26 +73,26 @@
 fn run(options: Options) -> Result<(), lexopt::Error> {
     let listen = &options.listen;
     match options.kind.as_str() {
-        "kv" => wait(listen, &KvStandin::start(listen)),
+        "kv" => run_forever(listen, &KvStandin::start(listen)),
         "engine" => {
             let incarnation = u64::from(std::process::id());
-            wait(listen, &EngineStandin::start(listen, options.engine, incarnation))
+            run_forever(listen, &EngineStandin::start(listen, options.engine, incarnation))
         }
-        "service" => wait(listen, &ServiceStandin::start(listen)),
+        "service" => run_forever(listen, &ServiceStandin::start(listen)),
         "weights" => {
             let limits = Limits {
                 loads_per_second: options.loads_per_second,
                 full_speed_loads: options.full_speed_loads,
                 load_time: Duration::from_secs(1),
             };
-            wait(listen, &WeightStandin::start(listen, limits))
+            run_forever(listen, &WeightStandin::start(listen, limits))
         }
         "vms" => {
             let text = std::fs::read_to_string(&options.list)
                 .map_err(|err| format!("{}: {err}", options.list))?;
-            let list: VmList =
+            let vm_list: VmList =
                 serde_json::from_str(&text).map_err(|err| format!("{}: {err}", options.list))?;
-            wait(listen, &VmListStandin::start(listen, list, options.lag))
+            run_forever(listen, &VmListStandin::start(listen, vm_list, options.lag))
         }
         "proxy" => {
             let proxy = Proxy::start(listen, &options.target);
@@ -100,14 +100,14 @@
                 faults.delay = options.delay;
                 faults.bytes_per_second = options.bytes_per_second;
             });
-            wait(listen, &proxy)
+            run_forever(listen, &proxy)
         }
         kind => Err(format!("unknown kind {kind:?}").into()),
     }
 }
 
-/// Keeps a stand-in until the process is ended.
-fn wait<T>(listen: &str, _standin: &T) -> Result<(), lexopt::Error> {
+/// Keeps a stand-in running until the process is terminated.
+fn run_forever<T>(listen: &str, _standin: &T) -> Result<(), lexopt::Error> {
     println!("listening on {listen}");
     loop {
         std::thread::park();
--- a/savoryport_standin/src/metadata.rs
+++ b/savoryport_standin/src/metadata.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use tiny_http::{Method, Request};
 
-use crate::http::{Running, answer_json, lose_answer, read_body};
+use crate::http::{HttpServer, drop_response, read_body, respond_json};
 
 /// What the store does with calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -62,7 +62,7 @@
 #[derive(Clone)]
 pub struct MetadataStandin {
     shared: Arc<Shared>,
-    running: Arc<Running>,
+    running: Arc<HttpServer>,
 }
 
 impl MetadataStandin {
@@ -75,7 +75,7 @@
         let shared = Arc::new(Shared::default());
         shared.lock().revision = 1;
         let serving = shared.clone();
-        let running = Running::start(address, move |req| serve(&serving, req));
+        let running = HttpServer::start(address, move |req| serve(&serving, req));
         Self { shared, running: Arc::new(running) }
     }
 
@@ -124,7 +124,7 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no thread panics while holding the lock")
     }
 }
 
@@ -199,8 +199,8 @@
     let query: HashMap<&str, &str> =
         query.split('&').filter_map(|pair| pair.split_once('=')).collect();
     match mode {
-        StoreMode::Busy => return answer_json(req, 503, &json!({})),
-        StoreMode::Silent => return lose_answer(req),
+        StoreMode::Busy => return respond_json(req, 503, &json!({})),
+        StoreMode::Silent => return drop_response(req),
         StoreMode::Up | StoreMode::DropsResponses => {}
     }
     let (status, answer) = match (req.method(), path) {
@@ -223,9 +223,9 @@
         _ => (404, json!({})),
     };
     if mode == StoreMode::DropsResponses && *req.method() != Method::Get {
-        return lose_answer(req);
+        return drop_response(req);
     }
-    answer_json(req, status, &answer);
+    respond_json(req, status, &answer);
 }
 
 fn lease_of(path: &str, prefix: &str) -> Option<u64> {
@@ -274,7 +274,11 @@
         }
         // Leases end while a watch waits, so it looks again from time to time.
         let pause = left.min(Duration::from_millis(50));
-        state = shared.changed.wait_timeout(state, pause).expect("no holder panics").0;
+        state = shared
+            .changed
+            .wait_timeout(state, pause)
+            .expect("no thread panics while holding the lock")
+            .0;
     }
 }
 
--- a/savoryport_standin/src/proxy.rs
+++ b/savoryport_standin/src/proxy.rs
@@ -88,12 +88,12 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no thread panics while holding the lock")
     }
 }
 
 fn accept(shared: &Shared, stream: TcpStream, target: &str) {
-    let mut state = shared.lock().expect("no holder panics");
+    let mut state = shared.lock().expect("no thread panics while holding the lock");
     if state.faults.refuse {
         return;
     }
@@ -134,7 +134,7 @@
         if is_silent(shared, number) {
             return false;
         }
-        let mut state = shared.lock().expect("no holder panics");
+        let mut state = shared.lock().expect("no thread panics while holding the lock");
         let faults = state.faults;
         if !faults.pause {
             state.bytes += len as u64;
@@ -148,7 +148,7 @@
 }
 
 fn is_silent(shared: &Shared, number: u64) -> bool {
-    number < shared.lock().expect("no holder panics").silent_before
+    number < shared.lock().expect("no thread panics while holding the lock").silent_before
 }
 
 fn transfer_time(len: usize, bytes_per_second: u64) -> Duration {
--- a/savoryport_standin/src/service.rs
+++ b/savoryport_standin/src/service.rs
@@ -8,7 +8,7 @@
 use savoryport_platform::wire::REQUEST_ID_HEADER;
 use serde_json::json;
 
-use crate::http::{Running, answer_json, header, lose_answer, read_body, refuse_draining};
+use crate::http::{HttpServer, drop_response, header, read_body, reject_draining, respond_json};
 
 /// Faults that are switched on and off while the service runs.
 #[derive(Debug, Clone, Copy, Default)]
@@ -29,7 +29,7 @@
 
 /// A running service.
 pub struct ServiceStandin {
-    running: Running,
+    running: HttpServer,
     state: Arc<Mutex<State>>,
 }
 
@@ -38,14 +38,14 @@
     pub fn start(address: &str) -> Self {
         let state = Arc::new(Mutex::new(State::default()));
         let handling = state.clone();
-        let running = Running::start(address, move |mut req| {
+        let running = HttpServer::start(address, move |mut req| {
             let body = read_body(&mut req);
             let id = header(&req, REQUEST_ID_HEADER).unwrap_or_default();
             let (delay, is_lost) = {
-                let mut state = handling.lock().expect("no holder panics");
+                let mut state = handling.lock().expect("no thread panics while holding the lock");
                 if state.faults.draining {
                     drop(state);
-                    return refuse_draining(req);
+                    return reject_draining(req);
                 }
                 *state.executions.entry(id.clone()).or_default() += 1;
                 let is_lost = state.faults.responses_to_drop > 0;
@@ -54,9 +54,9 @@
             };
             thread::sleep(delay);
             if is_lost {
-                return lose_answer(req);
+                return drop_response(req);
             }
-            answer_json(req, 200, &json!({ "executed": id, "bytes": body.len() }));
+            respond_json(req, 200, &json!({ "executed": id, "bytes": body.len() }));
         });
         Self { running, state }
     }
@@ -68,11 +68,11 @@
 
     /// Changes the faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
-        change(&mut self.state.lock().expect("no holder panics").faults);
+        change(&mut self.state.lock().expect("no thread panics while holding the lock").faults);
     }
 
     /// Returns how often each request id ran.
     pub fn executions(&self) -> HashMap<String, u32> {
-        self.state.lock().expect("no holder panics").executions.clone()
+        self.state.lock().expect("no thread panics while holding the lock").executions.clone()
     }
 }
--- a/savoryport_standin/src/vm_list.rs
+++ b/savoryport_standin/src/vm_list.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use tiny_http::Method;
 
-use crate::http::{Running, answer_json, read_body};
+use crate::http::{HttpServer, read_body, respond_json};
 
 struct State {
     shown: VmList,
@@ -18,7 +18,7 @@
 
 /// A running list: `GET /vms` shows it, `PUT /vms` replaces it after the lag.
 pub struct VmListStandin {
-    running: Running,
+    running: HttpServer,
     state: Arc<Mutex<State>>,
 }
 
@@ -27,18 +27,18 @@
     pub fn start(address: &str, list: VmList, lag: Duration) -> Self {
         let state = Arc::new(Mutex::new(State { shown: list, coming: VecDeque::new(), lag }));
         let handling = state.clone();
-        let running = Running::start(address, move |mut req| {
+        let running = HttpServer::start(address, move |mut req| {
             if *req.method() == Method::Put {
                 return match serde_json::from_slice(&read_body(&mut req)) {
                     Ok(list) => {
                         replace(&handling, list);
-                        answer_json(req, 200, &json!({ "accepted": true }));
+                        respond_json(req, 200, &json!({ "accepted": true }));
                     }
-                    Err(err) => answer_json(req, 400, &json!({ "error": err.to_string() })),
+                    Err(err) => respond_json(req, 400, &json!({ "error": err.to_string() })),
                 };
             }
             let list = show(&handling);
-            answer_json(req, 200, &list);
+            respond_json(req, 200, &list);
         });
         Self { running, state }
     }
@@ -51,7 +51,7 @@
     /// Changes the list; the change shows after the lag.
     pub fn change(&self, edit: impl FnOnce(&mut VmList)) {
         let mut list = {
-            let state = self.state.lock().expect("no holder panics");
+            let state = self.state.lock().expect("no thread panics while holding the lock");
             state.coming.back().map_or(&state.shown, |(_, list)| list).clone()
         };
         edit(&mut list);
@@ -61,13 +61,13 @@
 }
 
 fn replace(state: &Mutex<State>, list: VmList) {
-    let mut state = state.lock().expect("no holder panics");
+    let mut state = state.lock().expect("no thread panics while holding the lock");
     let shows_at = Instant::now() + state.lag;
     state.coming.push_back((shows_at, list));
 }
 
 fn show(state: &Mutex<State>) -> VmList {
-    let mut state = state.lock().expect("no holder panics");
+    let mut state = state.lock().expect("no thread panics while holding the lock");
     let now = Instant::now();
     while state.coming.front().is_some_and(|(shows_at, _)| *shows_at <= now) {
         state.shown = state.coming.pop_front().expect("just seen").1;
--- a/savoryport_standin/src/weights.rs
+++ b/savoryport_standin/src/weights.rs
@@ -6,7 +6,7 @@
 
 use serde_json::json;
 
-use crate::http::{Running, answer_json};
+use crate::http::{HttpServer, respond_json};
 
 /// The limits of the store.
 #[derive(Debug, Clone, Copy)]
@@ -29,7 +29,7 @@
 
 /// A running weight store.
 pub struct WeightStandin {
-    running: Running,
+    running: HttpServer,
     state: Arc<Mutex<State>>,
 }
 
@@ -38,10 +38,13 @@
     pub fn start(address: &str, limits: Limits) -> Self {
         let state = Arc::new(Mutex::new(State::default()));
         let handling = state.clone();
-        let running = Running::start(address, move |req| {
-            thread::sleep(begin(&mut handling.lock().expect("no holder panics"), &limits));
-            handling.lock().expect("no holder panics").in_flight -= 1;
-            answer_json(req, 200, &json!({ "loaded": true }));
+        let running = HttpServer::start(address, move |req| {
+            thread::sleep(begin(
+                &mut handling.lock().expect("no thread panics while holding the lock"),
+                &limits,
+            ));
+            handling.lock().expect("no thread panics while holding the lock").in_flight -= 1;
+            respond_json(req, 200, &json!({ "loaded": true }));
         });
         Self { running, state }
     }
@@ -53,7 +56,7 @@
 
     /// Returns the number of loads so far, and the most at once.
     pub fn loads(&self) -> (u64, u32) {
-        let state = self.state.lock().expect("no holder panics");
+        let state = self.state.lock().expect("no thread panics while holding the lock");
         (state.loads, state.most_in_flight)
     }
 }
