--- a/savoryport_standin/src/fleet.rs
+++ b/savoryport_standin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole platform on loopback: stand-ins for a demonstration or a test.
+//! A complete set of stand-ins on loopback addresses, for demonstrations and tests.
 
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
@@ -11,25 +11,31 @@
 use crate::service::ServiceStandin;
 use crate::vm_list::VmListStandin;
 
-/// Stand-ins for a platform and its backend servers.
+/// The stand-ins for a platform and its backend servers.
 pub struct LocalFleet {
     /// The key-value service.
     pub kv: KvStandin,
-    /// The list of VMs.
+    /// The service that publishes the list of VMs.
     pub vm_list: VmListStandin,
-    /// The engines, in the order of the list.
+    /// The engines, in the order of `initial_list`.
     pub engines: Vec<EngineStandin>,
-    /// The plain services, in the order of the list.
+    /// The plain services, in the order of `initial_list`.
     pub services: Vec<ServiceStandin>,
-    /// The list that the platform shows first, with addresses on loopback.
+    /// The list of VMs that is published at the start, with the loopback addresses.
     pub initial_list: VmList,
 }
 
 impl LocalFleet {
-    /// Starts a stand-in for each VM of a list, and moves every address to a free loopback port.
+    /// Starts a stand-in for each engine and service of a list, and replaces the addresses of all VMs by
+    /// free loopback addresses.
     ///
-    /// `engine` makes the configuration of an engine from its entry in the list.
-    pub fn start(mut list: VmList, lag: Duration, engine: impl Fn(&Vm) -> EngineConfig) -> Self {
+    /// `lag` is the time after which a change of the VM list becomes visible. `engine_config` returns
+    /// the configuration of an engine from its entry in the list.
+    pub fn start(
+        mut list: VmList,
+        lag: Duration,
+        engine_config: impl Fn(&Vm) -> EngineConfig,
+    ) -> Self {
         let (mut engines, mut services) = (Vec::new(), Vec::new());
         for (incarnation, vm) in (1..).zip(&mut list.vms) {
             match vm.role {
@@ -38,7 +44,8 @@
                     vm.control_address = Some(free_address().into());
                 }
                 VmRole::Engine => {
-                    let standin = EngineStandin::start("127.0.0.1:0", engine(vm), incarnation);
+                    let standin =
+                        EngineStandin::start("127.0.0.1:0", engine_config(vm), incarnation);
                     vm.address = standin.address().into();
                     engines.push(standin);
                 }
@@ -59,10 +66,11 @@
         self.initial_list.entries().collect()
     }
 
-    /// Returns the settings of an entry VM's daemons.
+    /// Returns the settings of the daemons on an entry VM.
     pub fn settings(&self, vm: &Vm) -> Value {
-        let controls = self.initial_list.entries().filter_map(|vm| vm.control_address.as_ref());
-        let peers: Vec<&str> = controls
+        let control_addresses =
+            self.initial_list.entries().filter_map(|vm| vm.control_address.as_ref());
+        let peers: Vec<&str> = control_addresses
             .filter(|address| Some(*address) != vm.control_address.as_ref())
             .map(|address| &**address)
             .collect();
@@ -84,8 +92,9 @@
 
 /// Returns a loopback address for a daemon to listen on.
 ///
-/// A port that was free a moment ago may be taken by an outgoing connection of any process. Those
-/// come from 127.0.0.1, so each process hands out ports of a loopback IP of its own.
+/// A port that was found free on 127.0.0.1 may meanwhile be taken by an outgoing connection of any
+/// process, because those use 127.0.0.1 as their source address. So each process returns ports on
+/// its own loopback IP address, which is derived from the process id.
 pub fn free_address() -> String {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(7_000);
     let pid = std::process::id();
--- a/savoryport_standin/src/vm_list.rs
+++ b/savoryport_standin/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's list of VMs, which lags.
+//! A stand-in for the platform's list of VMs, in which changes become visible after a lag.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -11,66 +11,68 @@
 use crate::http::{HttpServer, read_body, respond_json};
 
 struct State {
-    shown: VmList,
-    coming: VecDeque<(Instant, VmList)>,
+    published: VmList,
+    /// Later versions, each with the time from which it is published.
+    pending: VecDeque<(Instant, VmList)>,
     lag: Duration,
 }
 
-/// A running list: `GET /vms` shows it, `PUT /vms` replaces it after the lag.
+/// A running VM list service: `GET /vms` returns the list, `PUT /vms` replaces it after the lag.
 pub struct VmListStandin {
-    running: HttpServer,
+    server: HttpServer,
     state: Arc<Mutex<State>>,
 }
 
 impl VmListStandin {
-    /// Starts with a list.
+    /// Starts the service with an initial list.
     pub fn start(address: &str, list: VmList, lag: Duration) -> Self {
-        let state = Arc::new(Mutex::new(State { shown: list, coming: VecDeque::new(), lag }));
-        let handling = state.clone();
-        let running = HttpServer::start(address, move |mut req| {
+        let state = Arc::new(Mutex::new(State { published: list, pending: VecDeque::new(), lag }));
+        let handler_state = state.clone();
+        let server = HttpServer::start(address, move |mut req| {
             if *req.method() == Method::Put {
                 return match serde_json::from_slice(&read_body(&mut req)) {
                     Ok(list) => {
-                        replace(&handling, list);
+                        replace_after_lag(&handler_state, list);
                         respond_json(req, 200, &json!({ "accepted": true }));
                     }
                     Err(err) => respond_json(req, 400, &json!({ "error": err.to_string() })),
                 };
             }
-            let list = show(&handling);
+            let list = published_list(&handler_state);
             respond_json(req, 200, &list);
         });
-        Self { running, state }
+        Self { server, state }
     }
 
-    /// Returns the IP address and port.
+    /// Returns the IP address and port that the service listens on.
     pub fn address(&self) -> &str {
-        self.running.address()
+        self.server.address()
     }
 
-    /// Changes the list; the change shows after the lag.
+    /// Publishes a changed list with the next version number after the lag. `edit` changes the latest
+    /// list, including changes that are not published yet.
     pub fn change(&self, edit: impl FnOnce(&mut VmList)) {
         let mut list = {
             let state = self.state.lock().expect("no thread panics while holding the lock");
-            state.coming.back().map_or(&state.shown, |(_, list)| list).clone()
+            state.pending.back().map_or(&state.published, |(_, list)| list).clone()
         };
         edit(&mut list);
         list.version += 1;
-        replace(&self.state, list);
+        replace_after_lag(&self.state, list);
     }
 }
 
-fn replace(state: &Mutex<State>, list: VmList) {
+fn replace_after_lag(state: &Mutex<State>, list: VmList) {
     let mut state = state.lock().expect("no thread panics while holding the lock");
-    let shows_at = Instant::now() + state.lag;
-    state.coming.push_back((shows_at, list));
+    let published_at = Instant::now() + state.lag;
+    state.pending.push_back((published_at, list));
 }
 
-fn show(state: &Mutex<State>) -> VmList {
+fn published_list(state: &Mutex<State>) -> VmList {
     let mut state = state.lock().expect("no thread panics while holding the lock");
     let now = Instant::now();
-    while state.coming.front().is_some_and(|(shows_at, _)| *shows_at <= now) {
-        state.shown = state.coming.pop_front().expect("just seen").1;
+    while state.pending.front().is_some_and(|(published_at, _)| *published_at <= now) {
+        state.published = state.pending.pop_front().expect("the queue is not empty").1;
     }
-    state.shown.clone()
+    state.published.clone()
 }
