--- a/savoryport_standin/src/kv.rs
+++ b/savoryport_standin/src/kv.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the key-value service, in the JSON form of etcd v3.
+//! A stand-in for the key-value service, which speaks the JSON API of etcd v3.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -12,33 +12,36 @@
 
 use crate::http::{ChunkedResponse, HttpServer, drop_response, read_body, respond_json};
 
-/// How often a watch looks whether its caller is still there.
-const WATCH_BEAT: Duration = Duration::from_millis(100);
+/// The maximum interval between two messages of a watch. A watch without events sends empty messages to
+/// detect that its client has disconnected.
+const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The most past events kept for watches that start in the past.
-const KEPT_EVENTS: usize = 10_000;
+/// The maximum number of past events that are kept for watches with an earlier start revision.
+const MAX_PAST_EVENTS: usize = 10_000;
 
-/// Faults that are switched on and off while the service runs.
+/// Faults that can be changed while the service runs.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// No call is answered.
+    /// Whether calls get no response.
     pub down: bool,
-    /// Each call takes this long.
+    /// The delay of each call.
     pub delay: Duration,
-    /// So many writes take effect without an answer.
+    /// The number of upcoming writes that take effect but get no response.
     pub write_responses_to_drop: u32,
-    /// The most reads a second; others are refused with status 429. None is no limit.
+    /// The maximum number of reads per second; further ones are rejected with status 429. `None` means
+    /// no limit.
     pub max_reads_per_second: Option<u32>,
-    /// The most writes a second; others are refused with status 429. None is no limit.
+    /// The maximum number of writes per second; further ones are rejected with status 429. `None` means
+    /// no limit.
     pub max_writes_per_second: Option<u32>,
 }
 
-/// How many calls the service has had.
+/// The number of calls that the service has received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Reads.
+    /// Reads and lease renewals.
     pub reads: u64,
-    /// Writes, leases included.
+    /// Transactions, and leases granted or revoked.
     pub writes: u64,
     /// Watches.
     pub watches: u64,
@@ -70,11 +73,12 @@
     items: BTreeMap<String, Item>,
     events: Vec<Event>,
     leases: HashMap<i64, LeaseState>,
-    last_lease: i64,
+    last_lease_id: i64,
     faults: Faults,
     calls: CallCounts,
-    second: Option<Instant>,
-    in_second: CallCounts,
+    /// The start of the one-second window that the rate limits apply to.
+    window_start: Option<Instant>,
+    calls_in_window: CallCounts,
 }
 
 struct Shared {
@@ -84,40 +88,40 @@
 
 /// A running key-value service.
 pub struct KvStandin {
-    running: HttpServer,
+    server: HttpServer,
     shared: Arc<Shared>,
 }
 
 impl KvStandin {
-    /// Starts an empty service.
+    /// Starts a service without any keys.
     pub fn start(address: &str) -> Self {
         let shared = Arc::new(Shared { state: Mutex::default(), changed: Condvar::new() });
-        let handling = shared.clone();
-        let running = HttpServer::start(address, move |req| handle(&handling, req));
-        Self { running, shared }
+        let handler_shared = shared.clone();
+        let server = HttpServer::start(address, move |req| handle(&handler_shared, req));
+        Self { server, shared }
     }
 
-    /// Returns the IP address and port.
+    /// Returns the IP address and port that the service listens on.
     pub fn address(&self) -> &str {
-        self.running.address()
+        self.server.address()
     }
 
-    /// Changes the faults.
+    /// Calls `change` to modify the current faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.shared.lock().faults);
         self.shared.changed.notify_all();
     }
 
-    /// Returns how many calls there were.
+    /// Returns the number of calls so far.
     pub fn call_counts(&self) -> CallCounts {
         self.shared.lock().calls
     }
 
-    /// Returns a value as stored.
+    /// Returns the decoded value of a key.
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
         let state = self.shared.lock();
         let item = state.items.get(&STANDARD.encode(key))?;
-        Some(STANDARD.decode(&item.value).expect("clients encode values"))
+        Some(STANDARD.decode(&item.value).expect("clients send values in base64"))
     }
 }
 
@@ -128,18 +132,20 @@
 }
 
 impl State {
-    fn expire(&mut self, now: Instant) {
-        let ended: Vec<i64> = self
+    /// Revokes the leases that have expired.
+    fn expire_leases(&mut self, now: Instant) {
+        let expired: Vec<i64> = self
             .leases
             .iter()
             .filter(|(_, lease)| lease.ends_at <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in ended {
+        for id in expired {
             self.revoke(id);
         }
     }
 
+    /// Removes a lease and the keys that are bound to it.
     fn revoke(&mut self, id: i64) {
         self.leases.remove(&id);
         let keys: Vec<String> = self
@@ -153,7 +159,7 @@
             self.items.remove(&key);
             let revision = self.revision;
             let kv = json!({ "key": key, "mod_revision": revision.to_string() });
-            self.note(key, json!({ "type": "DELETE", "kv": kv }));
+            self.record_event(key, json!({ "type": "DELETE", "kv": kv }));
         }
     }
 
@@ -162,24 +168,25 @@
         let revision = self.revision;
         self.items.insert(key.to_owned(), Item { value: value.to_owned(), revision, lease });
         let kv = json!({ "key": key, "value": value, "mod_revision": revision.to_string() });
-        self.note(key.to_owned(), json!({ "type": "PUT", "kv": kv }));
+        self.record_event(key.to_owned(), json!({ "type": "PUT", "kv": kv }));
     }
 
-    fn note(&mut self, key: String, json: Value) {
+    fn record_event(&mut self, key: String, json: Value) {
         self.events.push(Event { key, revision: self.revision, json });
-        let excess = self.events.len().saturating_sub(KEPT_EVENTS);
+        let excess = self.events.len().saturating_sub(MAX_PAST_EVENTS);
         self.events.drain(..excess);
     }
 
+    /// Counts a call and tells whether it exceeds the rate limit.
     fn is_over_rate(&mut self, now: Instant, is_write: bool) -> bool {
-        if self.second.is_none_or(|start| now - start >= Duration::from_secs(1)) {
-            self.second = Some(now);
-            self.in_second = CallCounts::default();
+        if self.window_start.is_none_or(|start| now - start >= Duration::from_secs(1)) {
+            self.window_start = Some(now);
+            self.calls_in_window = CallCounts::default();
         }
         let (count, limit) = if is_write {
-            (&mut self.in_second.writes, self.faults.max_writes_per_second)
+            (&mut self.calls_in_window.writes, self.faults.max_writes_per_second)
         } else {
-            (&mut self.in_second.reads, self.faults.max_reads_per_second)
+            (&mut self.calls_in_window.reads, self.faults.max_reads_per_second)
         };
         *count += 1;
         limit.is_some_and(|limit| *count > u64::from(limit))
@@ -199,7 +206,7 @@
         return drop_response(req);
     }
     let now = Instant::now();
-    state.expire(now);
+    state.expire_leases(now);
     if state.is_over_rate(now, is_write) {
         drop(state);
         return respond_json(req, 429, &json!({ "error": "too many requests" }));
@@ -214,25 +221,25 @@
     } else {
         state.calls.reads += 1;
     }
-    let Some(answer) = carry_out(&mut state, &path, &body, now) else {
+    let Some(response) = execute_call(&mut state, &path, &body, now) else {
         drop(state);
         return respond_json(req, 404, &json!({ "error": "unknown call" }));
     };
-    let is_lost = is_write && state.faults.write_responses_to_drop > 0;
-    if is_lost {
+    let is_dropped = is_write && state.faults.write_responses_to_drop > 0;
+    if is_dropped {
         state.faults.write_responses_to_drop -= 1;
     }
     drop(state);
     shared.changed.notify_all();
-    if is_lost { drop_response(req) } else { respond_json(req, 200, &answer) }
+    if is_dropped { drop_response(req) } else { respond_json(req, 200, &response) }
 }
 
-fn carry_out(state: &mut State, path: &str, body: &Value, now: Instant) -> Option<Value> {
+fn execute_call(state: &mut State, path: &str, body: &Value, now: Instant) -> Option<Value> {
     Some(match path {
         "/v3/kv/range" => range(state, body),
-        "/v3/kv/txn" => txn(state, body),
-        "/v3/lease/grant" => grant(state, body, now),
-        "/v3/lease/keepalive" => keep_alive(state, body, now),
+        "/v3/kv/txn" => transact(state, body),
+        "/v3/lease/grant" => grant_lease(state, body, now),
+        "/v3/lease/keepalive" => renew_lease(state, body, now),
         "/v3/lease/revoke" => {
             state.revoke(number(&body["ID"]));
             json!({ "header": header(state) })
@@ -260,12 +267,12 @@
     json!({ "header": header(state), "count": kvs.len().to_string(), "kvs": kvs })
 }
 
-fn txn(state: &mut State, body: &Value) -> Value {
-    let holds = |compare: &Value| {
+fn transact(state: &mut State, body: &Value) -> Value {
+    let is_satisfied = |compare: &Value| {
         let revision = state.items.get(text(&compare["key"])).map_or(0, |item| item.revision);
         revision as i64 == number(&compare["mod_revision"])
     };
-    let succeeded = body["compare"].as_array().is_none_or(|all| all.iter().all(holds));
+    let succeeded = body["compare"].as_array().is_none_or(|all| all.iter().all(is_satisfied));
     if succeeded {
         for put in body["success"].as_array().into_iter().flatten() {
             let put = &put["request_put"];
@@ -279,16 +286,16 @@
     json!({ "header": header(state), "succeeded": succeeded })
 }
 
-fn grant(state: &mut State, body: &Value, now: Instant) -> Value {
+fn grant_lease(state: &mut State, body: &Value, now: Instant) -> Value {
     let time_to_live = Duration::from_secs(number(&body["TTL"]).max(1) as u64);
-    state.last_lease += 1;
-    let id = state.last_lease;
+    state.last_lease_id += 1;
+    let id = state.last_lease_id;
     state.leases.insert(id, LeaseState { time_to_live, ends_at: now + time_to_live });
     let seconds = time_to_live.as_secs().to_string();
     json!({ "header": header(state), "ID": id.to_string(), "TTL": seconds })
 }
 
-fn keep_alive(state: &mut State, body: &Value, now: Instant) -> Value {
+fn renew_lease(state: &mut State, body: &Value, now: Instant) -> Value {
     let id = number(&body["ID"]);
     let seconds = state.leases.get_mut(&id).map_or(0, |lease| {
         lease.ends_at = now + lease.time_to_live;
@@ -300,45 +307,48 @@
 fn watch(shared: &Shared, req: Request, body: &Value) {
     let create = &body["create_request"];
     let (key, end) = (text(&create["key"]).to_owned(), create["range_end"].as_str());
-    let mut next = number(&create["start_revision"]) as u64;
+    let mut next_revision = number(&create["start_revision"]) as u64;
     let mut stream = ChunkedResponse::start(req, "application/json");
     loop {
-        let (events, revision, is_down) = wait_for_events(shared, &key, end, next);
+        let (events, revision, is_down) = wait_for_events(shared, &key, end, next_revision);
         if is_down {
             return;
         }
-        next = next.max(revision + 1);
+        next_revision = next_revision.max(revision + 1);
         let result = json!({ "header": { "revision": revision.to_string() }, "events": events });
-        // An empty answer also shows whether the caller is still there.
+        // A message without events is sent too, to detect that the client has disconnected.
         if stream.send(&format!("{}\n", json!({ "result": result }))).is_err() {
             return;
         }
     }
 }
 
+/// Waits up to [`WATCH_INTERVAL`] for events of a key range from a revision on. Returns the events, the
+/// current revision and whether the service is down.
 fn wait_for_events(
     shared: &Shared,
     key: &str,
     end: Option<&str>,
-    next: u64,
+    next_revision: u64,
 ) -> (Vec<Value>, u64, bool) {
-    let find = |state: &State| -> Vec<Value> {
-        let is_new = |event: &&Event| event.revision >= next && is_in_range(&event.key, key, end);
+    let find_events = |state: &State| -> Vec<Value> {
+        let is_new =
+            |event: &&Event| event.revision >= next_revision && is_in_range(&event.key, key, end);
         state.events.iter().filter(is_new).map(|event| event.json.clone()).collect()
     };
     let mut state = shared.lock();
-    if find(&state).is_empty() {
+    if find_events(&state).is_empty() {
         state = shared
             .changed
-            .wait_timeout(state, WATCH_BEAT)
+            .wait_timeout(state, WATCH_INTERVAL)
             .expect("no thread panics while holding the lock")
             .0;
-        state.expire(Instant::now());
+        state.expire_leases(Instant::now());
     }
-    (find(&state), state.revision, state.faults.down)
+    (find_events(&state), state.revision, state.faults.down)
 }
 
-/// Tells whether a key lies in a range; keys are compared as bytes, not in their encoded form.
+/// Tells whether a base64-encoded key lies in a range; keys are compared by their decoded bytes.
 fn is_in_range(candidate: &str, key: &str, end: Option<&str>) -> bool {
     let decode = |text: &str| STANDARD.decode(text).unwrap_or_default();
     match end {
--- a/savoryport_standin/src/metadata.rs
+++ b/savoryport_standin/src/metadata.rs
@@ -11,45 +11,47 @@
 
 use crate::http::{HttpServer, drop_response, read_body, respond_json};
 
-/// What the store does with calls.
+/// How the store handles calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreMode {
-    /// It answers.
+    /// Executes calls and responds.
     #[default]
     Up,
-    /// It does nothing and says so.
+    /// Executes no calls and responds with status 503.
     Busy,
-    /// It does nothing and says nothing.
+    /// Neither executes calls nor responds.
     Silent,
-    /// It does what it is asked, and the answers to writes are lost.
+    /// Executes calls, but sends no responses to writes.
     DropsResponses,
 }
 
 #[derive(Debug, Clone)]
-struct Stored {
+struct StoredValue {
     value: String,
     revision: u64,
-    created: u64,
+    created_revision: u64,
     lease: u64,
 }
 
 #[derive(Debug, Clone)]
-struct Recorded {
+struct HistoryEvent {
     revision: u64,
     key: String,
-    stored: Option<Stored>,
+    /// The new value; `None` if the key was removed.
+    stored: Option<StoredValue>,
 }
 
 #[derive(Default)]
 struct State {
     mode: StoreMode,
     revision: u64,
-    keys: BTreeMap<String, Stored>,
-    history: Vec<Recorded>,
-    /// History up to here is forgotten.
-    compacted: u64,
+    keys: BTreeMap<String, StoredValue>,
+    history: Vec<HistoryEvent>,
+    /// The revision up to which the history was discarded.
+    compacted_revision: u64,
+    /// The time to live and the expiry of each lease.
     leases: HashMap<u64, (Duration, Instant)>,
-    calls: u64,
+    call_count: u64,
 }
 
 #[derive(Default)]
@@ -58,67 +60,67 @@
     changed: Condvar,
 }
 
-/// A running store.
+/// A running metadata store.
 #[derive(Clone)]
 pub struct MetadataStandin {
     shared: Arc<Shared>,
-    running: Arc<HttpServer>,
+    server: Arc<HttpServer>,
 }
 
 impl MetadataStandin {
-    /// Listens on an address.
+    /// Starts an empty store that listens on an address.
     ///
     /// # Panics
     ///
-    /// Panics where the address cannot be listened on.
+    /// Panics if it cannot listen on the address.
     pub fn start(address: &str) -> Self {
         let shared = Arc::new(Shared::default());
         shared.lock().revision = 1;
-        let serving = shared.clone();
-        let running = HttpServer::start(address, move |req| serve(&serving, req));
-        Self { shared, running: Arc::new(running) }
+        let handler_shared = shared.clone();
+        let server = HttpServer::start(address, move |req| handle(&handler_shared, req));
+        Self { shared, server: Arc::new(server) }
     }
 
-    /// Returns the IP address and port.
+    /// Returns the IP address and port that the store listens on.
     pub fn address(&self) -> &str {
-        self.running.address()
+        self.server.address()
     }
 
-    /// Changes what the store does with calls.
+    /// Changes how the store handles calls.
     pub fn set_mode(&self, mode: StoreMode) {
         self.shared.lock().mode = mode;
     }
 
-    /// Writes a key, as operators and servers do.
+    /// Writes a key directly, as operators and backend servers do.
     pub fn write(&self, key: &str, value: &Value) {
         let mut state = self.shared.lock();
         state.put(key, STANDARD.encode(value.to_string()), 0);
         self.shared.changed.notify_all();
     }
 
-    /// Removes a key.
+    /// Removes a key directly.
     pub fn remove(&self, key: &str) {
         let mut state = self.shared.lock();
         state.remove(key);
         self.shared.changed.notify_all();
     }
 
-    /// Returns the keys below a prefix.
+    /// Returns the keys that start with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = self.shared.lock();
         state.keys.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Forgets the history.
+    /// Discards the history, so that watches from an earlier revision fail with status 410.
     pub fn compact(&self) {
         let mut state = self.shared.lock();
-        state.compacted = state.revision;
+        state.compacted_revision = state.revision;
         state.history.clear();
     }
 
-    /// Returns how many calls came.
-    pub fn calls(&self) -> u64 {
-        self.shared.lock().calls
+    /// Returns the number of calls received.
+    pub fn call_count(&self) -> u64 {
+        self.shared.lock().call_count
     }
 }
 
@@ -131,66 +133,68 @@
 impl State {
     fn put(&mut self, key: &str, value: String, lease: u64) {
         self.revision += 1;
-        let created = self.keys.get(key).map_or(self.revision, |stored| stored.created);
-        let stored = Stored { value, revision: self.revision, created, lease };
+        let created_revision =
+            self.keys.get(key).map_or(self.revision, |stored| stored.created_revision);
+        let stored = StoredValue { value, revision: self.revision, created_revision, lease };
         self.keys.insert(key.to_owned(), stored.clone());
-        self.record(key, Some(stored));
+        self.record_event(key, Some(stored));
     }
 
     fn remove(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             self.revision += 1;
-            self.record(key, None);
+            self.record_event(key, None);
         }
     }
 
-    fn record(&mut self, key: &str, stored: Option<Stored>) {
-        self.history.push(Recorded { revision: self.revision, key: key.to_owned(), stored });
+    fn record_event(&mut self, key: &str, stored: Option<StoredValue>) {
+        self.history.push(HistoryEvent { revision: self.revision, key: key.to_owned(), stored });
     }
 
-    /// Ends the leases whose time is over.
-    fn expire(&mut self, now: Instant) {
-        let ended: Vec<u64> = self
+    /// Ends the leases that have expired.
+    fn expire_leases(&mut self, now: Instant) {
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, (_, until))| *until <= now)
+            .filter(|(_, (_, expires_at))| *expires_at <= now)
             .map(|(lease, _)| *lease)
             .collect();
-        for lease in ended {
+        for lease in expired {
             self.end_lease(lease);
         }
     }
 
+    /// Ends a lease and removes the keys that are bound to it. Returns whether the lease existed.
     fn end_lease(&mut self, lease: u64) -> bool {
-        let known = self.leases.remove(&lease).is_some();
-        let bound: Vec<String> = self
+        let existed = self.leases.remove(&lease).is_some();
+        let bound_keys: Vec<String> = self
             .keys
             .iter()
             .filter(|(_, stored)| stored.lease == lease)
             .map(|(key, _)| key.clone())
             .collect();
-        for key in bound {
+        for key in bound_keys {
             self.remove(&key);
         }
-        known
+        existed
     }
 }
 
-fn item(key: &str, stored: &Stored) -> Value {
+fn item_json(key: &str, stored: &StoredValue) -> Value {
     json!({
         "key": key,
         "value": stored.value,
         "revision": stored.revision,
-        "created": stored.created,
+        "created": stored.created_revision,
         "lease": stored.lease,
     })
 }
 
-fn serve(shared: &Shared, mut req: Request) {
+fn handle(shared: &Shared, mut req: Request) {
     let mode = {
         let mut state = shared.lock();
-        state.calls += 1;
-        state.expire(Instant::now());
+        state.call_count += 1;
+        state.expire_leases(Instant::now());
         state.mode
     };
     let body: Value = serde_json::from_slice(&read_body(&mut req)).unwrap_or_default();
@@ -203,20 +207,20 @@
         StoreMode::Silent => return drop_response(req),
         StoreMode::Up | StoreMode::DropsResponses => {}
     }
-    let (status, answer) = match (req.method(), path) {
+    let (status, response) = match (req.method(), path) {
         (Method::Get, "/savoryport/kv-range") => range(shared, &query),
         (Method::Get, "/savoryport/kv-watch") => watch(shared, &query),
         (Method::Post, "/savoryport/kv-txn") => transact(shared, &body),
-        (Method::Post, "/savoryport/kv-lease") => grant(shared, &body),
-        (Method::Post, path) => match lease_of(path, "/savoryport/kv-keep/") {
-            Some(lease) => keep(shared, lease),
+        (Method::Post, "/savoryport/kv-lease") => grant_lease(shared, &body),
+        (Method::Post, path) => match parse_lease(path, "/savoryport/kv-keep/") {
+            Some(lease) => renew_lease(shared, lease),
             None => (404, json!({})),
         },
-        (Method::Delete, path) => match lease_of(path, "/savoryport/kv-lease-end/") {
+        (Method::Delete, path) => match parse_lease(path, "/savoryport/kv-lease-end/") {
             Some(lease) => {
-                let known = shared.lock().end_lease(lease);
+                let existed = shared.lock().end_lease(lease);
                 shared.changed.notify_all();
-                (if known { 200 } else { 404 }, json!({}))
+                (if existed { 200 } else { 404 }, json!({}))
             }
             None => (404, json!({})),
         },
@@ -225,38 +229,39 @@
     if mode == StoreMode::DropsResponses && *req.method() != Method::Get {
         return drop_response(req);
     }
-    respond_json(req, status, &answer);
+    respond_json(req, status, &response);
 }
 
-fn lease_of(path: &str, prefix: &str) -> Option<u64> {
+/// Parses the lease id that follows `prefix` in a path.
+fn parse_lease(path: &str, prefix: &str) -> Option<u64> {
     path.strip_prefix(prefix)?.parse().ok()
 }
 
 fn range(shared: &Shared, query: &HashMap<&str, &str>) -> (u16, Value) {
-    /// Keys on one page, few so that paging is met in tests.
-    const PAGE: usize = 5;
+    /// The number of keys in a page, small enough that tests need more than one page.
+    const PAGE_SIZE: usize = 5;
     let prefix = query.get("pathPrefix").copied().unwrap_or_default();
     let after = query.get("after").copied().unwrap_or_default();
     let state = shared.lock();
-    let below = state.keys.iter().filter(|(key, _)| key.starts_with(prefix));
-    let mut rest: Vec<Value> = below
+    let matching = state.keys.iter().filter(|(key, _)| key.starts_with(prefix));
+    let mut page: Vec<Value> = matching
         .filter(|(key, _)| key.as_str() > after)
-        .map(|(key, stored)| item(key, stored))
+        .map(|(key, stored)| item_json(key, stored))
         .collect();
-    let has_more = rest.len() > PAGE;
-    rest.truncate(PAGE);
-    (200, json!({ "items": rest, "hasMore": has_more, "at": state.revision }))
+    let has_more = page.len() > PAGE_SIZE;
+    page.truncate(PAGE_SIZE);
+    (200, json!({ "items": page, "hasMore": has_more, "at": state.revision }))
 }
 
 fn watch(shared: &Shared, query: &HashMap<&str, &str>) -> (u16, Value) {
     let prefix = query.get("pathPrefix").copied().unwrap_or_default();
     let number = |name| query.get(name).and_then(|value| value.parse().ok()).unwrap_or(0_u64);
     let (after, wait) = (number("after"), Duration::from_millis(number("waitMs")));
-    let ends = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     let mut state = shared.lock();
     loop {
-        state.expire(Instant::now());
-        if after < state.compacted {
+        state.expire_leases(Instant::now());
+        if after < state.compacted_revision {
             return (410, json!({}));
         }
         let events: Vec<Value> = state
@@ -264,19 +269,19 @@
             .iter()
             .filter(|event| event.revision > after && event.key.starts_with(prefix))
             .map(|event| match &event.stored {
-                Some(stored) => item(&event.key, stored),
+                Some(stored) => item_json(&event.key, stored),
                 None => json!({ "key": event.key, "revision": event.revision, "deleted": true }),
             })
             .collect();
-        let left = ends.saturating_duration_since(Instant::now());
-        if !events.is_empty() || left.is_zero() {
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        if !events.is_empty() || time_left.is_zero() {
             return (200, json!({ "events": events, "at": state.revision }));
         }
-        // Leases end while a watch waits, so it looks again from time to time.
-        let pause = left.min(Duration::from_millis(50));
+        // Nothing signals the expiry of a lease, so the watch polls for it.
+        let timeout = time_left.min(Duration::from_millis(50));
         state = shared
             .changed
-            .wait_timeout(state, pause)
+            .wait_timeout(state, timeout)
             .expect("no thread panics while holding the lock")
             .0;
     }
@@ -287,8 +292,8 @@
     let mut state = shared.lock();
     for row in rows("precondition") {
         let key = row["key"].as_str().unwrap_or_default();
-        let present = state.keys.get(key).map_or(0, |stored| stored.revision);
-        if Some(present) != row["revision"].as_u64() {
+        let current_revision = state.keys.get(key).map_or(0, |stored| stored.revision);
+        if Some(current_revision) != row["revision"].as_u64() {
             return (412, json!({ "items": [] }));
         }
     }
@@ -309,20 +314,20 @@
     (200, json!({ "revision": state.revision }))
 }
 
-fn grant(shared: &Shared, body: &Value) -> (u16, Value) {
-    let time = Duration::from_millis(body["ttlMs"].as_u64().unwrap_or(1_000));
+fn grant_lease(shared: &Shared, body: &Value) -> (u16, Value) {
+    let time_to_live = Duration::from_millis(body["ttlMs"].as_u64().unwrap_or(1_000));
     let mut state = shared.lock();
-    let lease = 70_000 + state.calls;
-    state.leases.insert(lease, (time, Instant::now() + time));
-    (200, json!({ "lease": lease, "ttlMs": time.as_millis() as u64 }))
+    let lease = 70_000 + state.call_count;
+    state.leases.insert(lease, (time_to_live, Instant::now() + time_to_live));
+    (200, json!({ "lease": lease, "ttlMs": time_to_live.as_millis() as u64 }))
 }
 
-fn keep(shared: &Shared, lease: u64) -> (u16, Value) {
+fn renew_lease(shared: &Shared, lease: u64) -> (u16, Value) {
     let mut state = shared.lock();
     match state.leases.get_mut(&lease) {
-        Some((time, until)) => {
-            *until = Instant::now() + *time;
-            (200, json!({ "ttlMs": time.as_millis() as u64 }))
+        Some((time_to_live, expires_at)) => {
+            *expires_at = Instant::now() + *time_to_live;
+            (200, json!({ "ttlMs": time_to_live.as_millis() as u64 }))
         }
         None => (404, json!({})),
     }
--- a/savoryport_standin/src/proxy.rs
+++ b/savoryport_standin/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that fails on command.
+//! A TCP proxy that injects network faults.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -6,30 +6,30 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a held-back connection looks whether it may go on.
-const POLL: Duration = Duration::from_millis(5);
+/// The interval at which a paused connection checks whether it may continue.
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What happens to connections.
+/// Faults that can be changed while the proxy runs.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// New connections are closed at once.
+    /// Whether new connections are closed immediately.
     pub refuse: bool,
-    /// Bytes are held back, on connections old and new, until the fault ends.
+    /// Whether forwarding is paused, on existing and new connections.
     pub pause: bool,
-    /// Each piece takes this much longer.
+    /// The additional delay of each chunk read from a connection.
     pub delay: Duration,
-    /// Bytes a second in each direction; 0 is no limit.
+    /// The bandwidth limit per direction of a connection, in bytes per second; 0 means no limit.
     pub bytes_per_second: u64,
 }
 
 #[derive(Default)]
 struct State {
     faults: Faults,
-    open: Vec<TcpStream>,
-    /// Connections made before this number are silent for good.
-    silent_before: u64,
-    made: u64,
-    bytes: u64,
+    open_streams: Vec<TcpStream>,
+    /// Connections with a lower number no longer forward anything.
+    blackholed_before: u64,
+    accepted_connections: u64,
+    forwarded_bytes: u64,
 }
 
 type Shared = Arc<Mutex<State>>;
@@ -45,46 +45,46 @@
     ///
     /// # Panics
     ///
-    /// Panics where the address cannot be listened on.
+    /// Panics if it cannot listen on the address.
     pub fn start(address: &str, target: &str) -> Self {
         let listener = TcpListener::bind(address).unwrap_or_else(|err| panic!("{address}: {err}"));
-        let address = listener.local_addr().expect("a bound listener").to_string();
+        let address = listener.local_addr().expect("a bound listener has an address").to_string();
         let state = Shared::default();
-        let (accepting, target) = (state.clone(), target.to_owned());
+        let (accept_state, target) = (state.clone(), target.to_owned());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                accept(&accepting, stream, &target);
+                accept(&accept_state, stream, &target);
             }
         });
         Self { address, state }
     }
 
-    /// Returns the IP address and port.
+    /// Returns the IP address and port that the proxy listens on.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Changes the faults.
+    /// Calls `change` to modify the current faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.lock().faults);
     }
 
     /// Closes every open connection.
     pub fn close_connections(&self) {
-        for stream in self.lock().open.drain(..) {
+        for stream in self.lock().open_streams.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Lets the connections that are open now go silent for good, without closing them.
+    /// Permanently stops forwarding on the connections that are open now, without closing them.
     pub fn blackhole_open_connections(&self) {
         let mut state = self.lock();
-        state.silent_before = state.made;
+        state.blackholed_before = state.accepted_connections;
     }
 
-    /// Returns the bytes forwarded so far, both directions.
+    /// Returns the number of bytes forwarded so far, in both directions.
     pub fn forwarded_bytes(&self) -> u64 {
-        self.lock().bytes
+        self.lock().forwarded_bytes
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
@@ -98,57 +98,57 @@
         return;
     }
     let Ok(upstream) = TcpStream::connect(target) else { return };
-    let number = state.made;
-    state.made += 1;
+    let connection = state.accepted_connections;
+    state.accepted_connections += 1;
     let _ = stream.set_nodelay(true);
     let _ = upstream.set_nodelay(true);
-    let pairs = [(&stream, &upstream), (&upstream, &stream)];
-    for (from, to) in pairs {
+    let directions = [(&stream, &upstream), (&upstream, &stream)];
+    for (from, to) in directions {
         let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { return };
         let shared = shared.clone();
-        thread::spawn(move || forward(&shared, number, from, to));
+        thread::spawn(move || forward(&shared, connection, from, to));
     }
-    state.open.extend([stream, upstream]);
+    state.open_streams.extend([stream, upstream]);
 }
 
-fn forward(shared: &Shared, number: u64, mut from: TcpStream, mut to: TcpStream) {
+fn forward(shared: &Shared, connection: u64, mut from: TcpStream, mut to: TcpStream) {
     let mut buf = [0; 16 * 1024];
     loop {
         let len = match from.read(&mut buf) {
             Ok(0) | Err(_) => break,
             Ok(len) => len,
         };
-        if !pass(shared, number, len) || to.write_all(&buf[..len]).is_err() {
+        if !wait_to_forward(shared, connection, len) || to.write_all(&buf[..len]).is_err() {
             break;
         }
     }
-    if !is_silent(shared, number) {
+    if !is_blackholed(shared, connection) {
         let _ = to.shutdown(Shutdown::Both);
         let _ = from.shutdown(Shutdown::Both);
     }
 }
 
-/// Waits until a piece may pass; returns false where the connection is silent for good.
-fn pass(shared: &Shared, number: u64, len: usize) -> bool {
+/// Waits until a chunk of `len` bytes may be forwarded. Returns false if the connection is blackholed.
+fn wait_to_forward(shared: &Shared, connection: u64, len: usize) -> bool {
     loop {
-        if is_silent(shared, number) {
+        if is_blackholed(shared, connection) {
             return false;
         }
         let mut state = shared.lock().expect("no thread panics while holding the lock");
         let faults = state.faults;
         if !faults.pause {
-            state.bytes += len as u64;
+            state.forwarded_bytes += len as u64;
             drop(state);
             thread::sleep(faults.delay + transfer_time(len, faults.bytes_per_second));
             return true;
         }
         drop(state);
-        thread::sleep(POLL);
+        thread::sleep(PAUSE_POLL_INTERVAL);
     }
 }
 
-fn is_silent(shared: &Shared, number: u64) -> bool {
-    number < shared.lock().expect("no thread panics while holding the lock").silent_before
+fn is_blackholed(shared: &Shared, connection: u64) -> bool {
+    connection < shared.lock().expect("no thread panics while holding the lock").blackholed_before
 }
 
 fn transfer_time(len: usize, bytes_per_second: u64) -> Duration {
