--- a/savoryport_standin/src/backend.rs
+++ b/savoryport_standin/src/backend.rs
@@ -36,7 +36,7 @@
     pub event_interval: Duration,
 }
 
-/// The fault that a server shows.
+/// The fault that a server simulates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum BackendFault {
     /// No fault.
@@ -66,10 +66,10 @@
 #[derive(Default)]
 struct State {
     fault: BackendFault,
-    runs: HashMap<String, u32>,
+    runs_by_request: HashMap<String, u32>,
     orders: Vec<ReceivedOrder>,
     accepted_orders: u64,
-    models: BTreeMap<String, Vec<String>>,
+    adapters_by_model: BTreeMap<String, Vec<String>>,
     overcommit_count: u32,
 }
 
@@ -105,8 +105,9 @@
         store: &MetadataStandin,
         incarnation: u64,
     ) -> Self {
-        let models = config.models.iter().map(|model| (model.clone(), Vec::new())).collect();
-        let state = Arc::new(Mutex::new(State { models, ..State::default() }));
+        let adapters_by_model =
+            config.models.iter().map(|model| (model.clone(), Vec::new())).collect();
+        let state = Arc::new(Mutex::new(State { adapters_by_model, ..State::default() }));
         let (handler_state, handler_config) = (state.clone(), config.clone());
         let server = HttpServer::start(address, move |req| {
             handle(&handler_state, &handler_config, incarnation, req)
@@ -118,7 +119,7 @@
 
     /// Writes the server's registry entry with the given state.
     pub fn register(&self, state: &str) {
-        let models = models_json(&self.lock().models);
+        let models = models_json(&self.lock().adapters_by_model);
         let entry = json!({
             "service": self.config.service,
             "address": self.server.address(),
@@ -144,12 +145,12 @@
 
     /// Returns how often the request with this id ran.
     pub fn runs_of(&self, request: &str) -> u32 {
-        self.lock().runs.get(request).copied().unwrap_or(0)
+        self.lock().runs_by_request.get(request).copied().unwrap_or(0)
     }
 
     /// Returns how often each request ran, by request id.
     pub fn runs(&self) -> HashMap<String, u32> {
-        self.lock().runs.clone()
+        self.lock().runs_by_request.clone()
     }
 
     /// Returns the received orders, oldest first.
@@ -193,7 +194,7 @@
     let report = json!({
         "born": incarnation,
         "stage": "both",
-        "models": models_json(&state.models),
+        "models": models_json(&state.adapters_by_model),
         "busy": false,
         "sequence": state.accepted_orders,
         "pending": [],
@@ -229,25 +230,26 @@
         self.accepted_orders += 1;
         match (order["operation"].as_str(), adapter) {
             (Some("load"), None) => {
-                self.models.entry(model).or_default();
+                self.adapters_by_model.entry(model).or_default();
             }
             (Some("unload"), None) => {
-                self.models.remove(&model);
+                self.adapters_by_model.remove(&model);
             }
-            (Some("load"), Some(adapter)) => match self.models.get_mut(&model) {
+            (Some("load"), Some(adapter)) => match self.adapters_by_model.get_mut(&model) {
                 Some(adapters) => adapters.push(adapter),
                 None => return 400,
             },
             (Some("unload"), Some(adapter)) => {
-                if let Some(adapters) = self.models.get_mut(&model) {
+                if let Some(adapters) = self.adapters_by_model.get_mut(&model) {
                     adapters.retain(|name| *name != adapter);
                 }
                 return 200;
             }
             _ => return 400,
         }
-        let adapter_count: usize = self.models.values().map(Vec::len).sum();
-        if adapter_count > cfg.adapter_capacity || self.models.len() > cfg.model_capacity {
+        let adapter_count: usize = self.adapters_by_model.values().map(Vec::len).sum();
+        if adapter_count > cfg.adapter_capacity || self.adapters_by_model.len() > cfg.model_capacity
+        {
             self.overcommit_count += 1;
         }
         202
@@ -256,10 +258,10 @@
     fn has_loaded(&self, target: &str) -> bool {
         match target.split_once('/') {
             Some((model, adapter)) => self
-                .models
+                .adapters_by_model
                 .get(model)
                 .is_some_and(|adapters| adapters.iter().any(|name| name == adapter)),
-            None => self.models.contains_key(target),
+            None => self.adapters_by_model.contains_key(target),
         }
     }
 }
@@ -281,7 +283,7 @@
             drop(state);
             return reject(req, status);
         }
-        *state.runs.entry(id.clone()).or_default() += 1;
+        *state.runs_by_request.entry(id.clone()).or_default() += 1;
         state.fault
     };
     match fault {
--- a/savoryport_standin/src/engine.rs
+++ b/savoryport_standin/src/engine.rs
@@ -90,7 +90,7 @@
     pub cache_hits: u64,
 }
 
-struct LoadedItem {
+struct ResidentItem {
     memory_mib: u32,
     base: Option<Name>,
     is_ready: bool,
@@ -100,7 +100,7 @@
 struct State {
     incarnation: u64,
     highest_fence: u64,
-    items: HashMap<Name, LoadedItem>,
+    items: HashMap<Name, ResidentItem>,
     running: u32,
     /// The waiting requests by priority and arrival number; the first one runs next.
     waiting: BTreeSet<(u32, u64)>,
@@ -172,7 +172,7 @@
     }
 
     fn engine_state(&self, state: &State) -> EngineState {
-        let item = |(name, item): (&Name, &LoadedItem)| EngineItem {
+        let item = |(name, item): (&Name, &ResidentItem)| EngineItem {
             name: name.clone(),
             memory_mib: item.memory_mib,
             state: if item.is_ready { ItemState::Loaded } else { ItemState::Loading },
@@ -241,7 +241,7 @@
         return false;
     }
     let (memory_mib, base) = (order.memory_mib, order.base.clone());
-    state.items.insert(order.item.clone(), LoadedItem { memory_mib, base, is_ready: false });
+    state.items.insert(order.item.clone(), ResidentItem { memory_mib, base, is_ready: false });
     let used: u32 = state.items.values().map(|item| item.memory_mib).sum();
     let excess = used.saturating_sub(shared.cfg.capacity_mib);
     state.counts.overcommitted_mib = state.counts.overcommitted_mib.max(excess);
