--- a/savoryport/tests/node_requests.rs
+++ b/savoryport/tests/node_requests.rs
@@ -34,7 +34,7 @@
         let stream = site.send(number % 2, &id, RequestKind::Stream(model));
         assert_eq!((stream.status, stream.body), (200, Some(expected_stream(&id))), "{model}");
     }
-    assert!(site.servers.iter().all(|server| server.overcommitted() == 0));
+    assert!(site.servers.iter().all(|server| server.overcommit_count() == 0));
     assert!(site.servers.iter().any(|server| !server.orders().is_empty()));
 }
 
@@ -57,7 +57,7 @@
 #[test]
 fn a_request_that_may_not_repeat_runs_once_and_is_never_said_not_to_have_run() {
     let site = NodeSite::start(1);
-    for fault in [BackendFault::LosesAnswers, BackendFault::Crosses] {
+    for fault in [BackendFault::DropsResponses, BackendFault::WrongRequestId] {
         for server in ["plain-0", "plain-1", "plain-2"] {
             site.server(server).set_fault(fault);
         }
@@ -71,7 +71,7 @@
 #[test]
 fn an_answer_to_somebody_else_reaches_nobody() {
     let site = NodeSite::start(1);
-    site.server("plain-0").set_fault(BackendFault::Crosses);
+    site.server("plain-0").set_fault(BackendFault::WrongRequestId);
     for number in 0..12 {
         let id = format!("x-{number}");
         let response = site.send(0, &id, RequestKind::Idempotent);
@@ -84,7 +84,7 @@
 #[test]
 fn idempotent_request_is_retried_after_a_server_error() {
     let site = NodeSite::start(1);
-    site.server("plain-0").set_fault(BackendFault::Fails);
+    site.server("plain-0").set_fault(BackendFault::InternalError);
     for number in 0..12 {
         assert_eq!(site.send(0, &format!("f-{number}"), RequestKind::Idempotent).status, 200);
     }
@@ -134,7 +134,7 @@
 #[test]
 fn stalled_stream_is_kept_open_if_no_other_server_can_resume_it() {
     let pause = Duration::from_millis(2_000);
-    let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before: 3, pause });
+    let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before_event: 3, pause });
     let stream = site.send(0, "silent", RequestKind::Stream("m3"));
     assert_eq!((stream.status, stream.body), (200, Some(expected_stream("silent"))));
     assert_eq!(site.runs_of("silent"), 1);
@@ -144,7 +144,7 @@
 fn request_waits_for_a_slow_first_event_if_no_other_server_can_take_it() {
     // More than half of the route's timeout, after which a request may be sent to another server.
     let pause = Duration::from_millis(2_500);
-    let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before: 1, pause });
+    let site = site_with_only_one_engine_for_m3(BackendFault::Stalls { before_event: 1, pause });
     let stream = site.send(0, "slow", RequestKind::Stream("m3"));
     assert_eq!((stream.status, stream.body), (200, Some(expected_stream("slow"))));
     assert_eq!(site.runs_of("slow"), 1);
@@ -178,7 +178,7 @@
         site.send(0, "after", RequestKind::Stream("m0")).status == 200
     });
     assert!(restarted_at.elapsed() < MAX_RELOAD_TIME, "{:?}", restarted_at.elapsed());
-    assert!(site.servers.iter().all(|server| server.overcommitted() == 0));
+    assert!(site.servers.iter().all(|server| server.overcommit_count() == 0));
 }
 
 #[test]
@@ -275,7 +275,7 @@
     assert_eq!(site.send(0, "first", RequestKind::Stream("m0/a1")).status, 200);
     let all_orders = |site: &NodeSite| {
         let mut orders: Vec<_> = site.servers.iter().flat_map(|server| server.orders()).collect();
-        orders.sort_by_key(|order| order.at);
+        orders.sort_by_key(|order| order.received_at);
         orders
     };
     let former_leader = all_orders(&site).last().expect("an order was sent").holder.clone();
@@ -299,7 +299,10 @@
     }
     let orders = all_orders(&site);
     for pair in orders.windows(2).filter(|pair| pair[0].holder != pair[1].holder) {
-        assert!(pair[1].at - pair[0].at >= Duration::from_millis(node_site::ORDER_TURN_MS));
+        assert!(
+            pair[1].received_at - pair[0].received_at
+                >= Duration::from_millis(node_site::ORDER_TURN_MS)
+        );
         assert!(pair[1].fencing_token > pair[0].fencing_token);
     }
     site.nodes[former].signal(Signal::KILL);
@@ -309,7 +312,7 @@
 #[test]
 fn lost_answers_of_the_store_leave_one_holder() {
     let mut site = NodeSite::start(2);
-    site.store.set_mode(StoreMode::LosesAnswers);
+    site.store.set_mode(StoreMode::DropsResponses);
     site.nodes[0].signal(Signal::KILL);
     let _ = site.nodes[0].wait_for_exit();
     std::thread::sleep(Duration::from_millis(2_500));
--- a/savoryport/tests/node_site/mod.rs
+++ b/savoryport/tests/node_site/mod.rs
@@ -177,10 +177,10 @@
             service: service.to_owned(),
             failure_domain: "east-a".to_owned(),
             models: models.iter().map(|model| (*model).to_owned()).collect(),
-            adapter_places: 3,
-            model_places: 3,
-            events: 8,
-            pace: event_interval,
+            adapter_capacity: 3,
+            model_capacity: 3,
+            events_per_stream: 8,
+            event_interval,
         };
         self.starts += 1;
         let incarnation = 1_000 + self.starts;
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -157,13 +157,13 @@
         }
         3 => {
             let modes =
-                [StoreMode::Busy, StoreMode::Silent, StoreMode::LosesAnswers, StoreMode::Up];
+                [StoreMode::Busy, StoreMode::Silent, StoreMode::DropsResponses, StoreMode::Up];
             site.store.set_mode(modes[rng.random_range(0..modes.len())]);
         }
         4 => {
             let faults = Faults {
                 refuse: rng.random_bool(0.3),
-                hold: rng.random_bool(0.3),
+                pause: rng.random_bool(0.3),
                 delay: Duration::from_millis(rng.random_range(0..300)),
                 ..Faults::default()
             };
@@ -172,10 +172,10 @@
         5 => {
             let faults = [
                 BackendFault::Full,
-                BackendFault::LosesAnswers,
+                BackendFault::DropsResponses,
                 BackendFault::BreaksStreams,
-                BackendFault::Fails,
-                BackendFault::Crosses,
+                BackendFault::InternalError,
+                BackendFault::WrongRequestId,
                 BackendFault::IgnoresOrders,
             ];
             site.servers[server].set_fault(faults[rng.random_range(0..faults.len())]);
@@ -232,13 +232,14 @@
 /// fencing tokens never fall, and that no server holds more models or adapters than fit.
 fn check_orders(seed: u64, site: &NodeSite) {
     for server in &site.servers {
-        assert_eq!(server.overcommitted(), 0, "seed {seed}: {}", server.id());
+        assert_eq!(server.overcommit_count(), 0, "seed {seed}: {}", server.id());
         for pair in server.orders().windows(2) {
             assert!(
                 pair[1].fencing_token >= pair[0].fencing_token,
                 "seed {seed}: the fencing token fell"
             );
-            let is_apart = pair[1].at - pair[0].at >= Duration::from_millis(ORDER_TURN_MS);
+            let is_apart =
+                pair[1].received_at - pair[0].received_at >= Duration::from_millis(ORDER_TURN_MS);
             let same = pair[0].fencing_token == pair[1].fencing_token;
             assert!(
                 same || pair[0].holder == pair[1].holder || is_apart,
--- a/savoryport/tests/site/mod.rs
+++ b/savoryport/tests/site/mod.rs
@@ -14,7 +14,7 @@
 use savoryport_standin::engine::{EngineConfig, EngineStandin};
 use savoryport_standin::fleet::{LocalFleet, free_address};
 use savoryport_standin::proxy::Proxy;
-use savoryport_standin::vms::VmListStandin;
+use savoryport_standin::vm_list::VmListStandin;
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
@@ -100,7 +100,7 @@
             token_time: Duration::from_millis(20),
             ..EngineConfig::default()
         });
-        let mut list = fleet.list.clone();
+        let mut list = fleet.initial_list.clone();
         let (mut engine_proxies, mut service_proxies) = (Vec::new(), Vec::new());
         for vm in list.vms.iter_mut().filter(|vm| vm.role != VmRole::Entry) {
             let proxy = Proxy::start("127.0.0.1:0", &vm.address);
@@ -241,7 +241,7 @@
 
     /// Returns the indices of the engines that have a model loaded.
     pub fn engines_with(&self, model: &str) -> Vec<usize> {
-        let has = |engine: &EngineStandin| engine.loaded().contains(model);
+        let has = |engine: &EngineStandin| engine.loaded_items().contains(model);
         (0..self.engine_proxies.len()).filter(|index| has(&self.fleet.engines[*index])).collect()
     }
 
--- a/savoryport_bench/src/bin/demo.rs
+++ b/savoryport_bench/src/bin/demo.rs
@@ -92,7 +92,7 @@
     std::fs::write(&path, TABLE_CSV)?;
     let options = Options {
         key_value: fleet.kv.address().to_owned(),
-        vm_list: Some(fleet.vms.address().to_owned()),
+        vm_list: Some(fleet.vm_list.address().to_owned()),
         first: true,
         ..Options::default()
     };
@@ -106,8 +106,11 @@
     let rows = savoryport_core::table::parse_csv(TABLE_CSV.as_bytes())?;
     let started = Instant::now();
     loop {
-        let loaded: Vec<_> =
-            fleet.engines.iter().map(savoryport_standin::engine::EngineStandin::loaded).collect();
+        let loaded: Vec<_> = fleet
+            .engines
+            .iter()
+            .map(savoryport_standin::engine::EngineStandin::loaded_items)
+            .collect();
         let items = rows.iter().filter(|row| row.memory_mib > 0);
         let missing = items.filter(|row| !loaded.iter().any(|set| set.contains(&row.name))).count();
         if missing == 0 {
@@ -179,6 +182,6 @@
     println!(
         "  cargo run --release --bin savoryport -- --key-value {} --vm-list {} status",
         fleet.kv.address(),
-        fleet.vms.address()
+        fleet.vm_list.address()
     );
 }
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -398,7 +398,11 @@
 
     fn wait_for_loads(&self, engines: usize) {
         let loaded = || -> usize {
-            self.fleet.engines.iter().map(|engine| usize::from(!engine.loaded().is_empty())).sum()
+            self.fleet
+                .engines
+                .iter()
+                .map(|engine| usize::from(!engine.loaded_items().is_empty()))
+                .sum()
         };
         let started = Instant::now();
         while loaded() < engines && started.elapsed() < Duration::from_secs(60) {
@@ -433,12 +437,12 @@
             others.spawn(follow(proxy.address().to_owned(), index, tx.clone()));
         }
         std::thread::sleep(Duration::from_secs(2));
-        let (bytes, cpu) = (proxy.bytes(), thread_cpu_seconds(CONTROL_THREAD_NAME));
+        let (bytes, cpu) = (proxy.forwarded_bytes(), thread_cpu_seconds(CONTROL_THREAD_NAME));
         std::thread::sleep(OBSERVATION_TIME);
         let seconds = OBSERVATION_TIME.as_secs_f64();
-        idle.add(count, (proxy.bytes() - bytes) as f64 / seconds);
+        idle.add(count, (proxy.forwarded_bytes() - bytes) as f64 / seconds);
         time.add(count, (thread_cpu_seconds(CONTROL_THREAD_NAME) - cpu) / seconds * 100.0);
-        let bytes = proxy.bytes();
+        let bytes = proxy.forwarded_bytes();
         let mut slowest: f64 = 0.0;
         for version in 2..2 + TABLE_CHANGES {
             let began = Instant::now();
@@ -451,7 +455,7 @@
             }
             slowest = slowest.max(began.elapsed().as_secs_f64() * 1e3);
         }
-        change.add(count, (proxy.bytes() - bytes) as f64 / TABLE_CHANGES as f64);
+        change.add(count, (proxy.forwarded_bytes() - bytes) as f64 / TABLE_CHANGES as f64);
         propagation.add(count, slowest);
         others.shutdown_background();
     }
@@ -485,13 +489,13 @@
     let mut calls = Series::new("calls of the key-value service", "calls/s by servers held");
     for count in SERVERS_HELD {
         let control = ControlProcess::start(count)?;
-        let (cpu, before) = (thread_cpu_seconds(CONTROL_THREAD_NAME), control.fleet.kv.calls());
+        let (cpu, before) = (thread_cpu_seconds(CONTROL_THREAD_NAME), control.fleet.kv.call_counts());
         std::thread::sleep(OBSERVATION_TIME);
-        let after = control.fleet.kv.calls();
+        let after = control.fleet.kv.call_counts();
         let seconds = OBSERVATION_TIME.as_secs_f64();
         time.add(count, (thread_cpu_seconds(CONTROL_THREAD_NAME) - cpu) / seconds * 100.0);
         let total =
-            |calls: savoryport_standin::kv::Calls| calls.reads + calls.writes + calls.watches;
+            |calls: savoryport_standin::kv::CallCounts| calls.reads + calls.writes + calls.watches;
         calls.add(count, (total(after) - total(before)) as f64 / seconds);
     }
     Ok(vec![time, calls])
--- a/savoryport_bench/src/path_overhead.rs
+++ b/savoryport_bench/src/path_overhead.rs
@@ -64,7 +64,7 @@
          | requests/s | requests/s a core of the entry |\n| --- | --- | --- | --- | --- | --- |"
     );
     for in_flight in CONCURRENCY_LEVELS {
-        let direct = run_load(&fleet.list.vms[1].address, in_flight);
+        let direct = run_load(&fleet.initial_list.vms[1].address, in_flight);
         let cpu_before = thread_cpu_seconds(ENTRY_THREAD_NAME);
         let through = run_load(&address, in_flight);
         let cpu_seconds = thread_cpu_seconds(ENTRY_THREAD_NAME) - cpu_before;
--- a/savoryport_platform/tests/engine_contract.rs
+++ b/savoryport_platform/tests/engine_contract.rs
@@ -75,7 +75,7 @@
 fn an_order_whose_response_is_lost_is_an_error_and_may_have_been_carried_out() {
     let engine = start_engine(true);
     let client = EngineClient::new(engine.address(), TIMEOUT);
-    engine.set_faults(|faults| faults.lose_order_answers = 1);
+    engine.set_faults(|faults| faults.order_responses_to_drop = 1);
     let lost = client.send_order(&new_order(1, OrderKind::Load, "a"));
     assert_matches!(lost, Err(EngineError::Unanswered { .. }));
     wait_until_loaded(&client, "a");
@@ -114,7 +114,7 @@
         let send = second.send(request("two"));
         let cut = async {
             tokio::time::sleep(Duration::from_millis(80)).await;
-            proxy.cut();
+            proxy.close_connections();
         };
         let (result, ()) = tokio::join!(send, cut);
         assert_matches!(result, Err(SendError::Broken { .. }));
@@ -132,7 +132,7 @@
         let mut first = pool.connect(&address, true, TIMEOUT).await.unwrap();
         first.send(request("one")).await.unwrap().into_body().collect().await.unwrap();
         pool.release(first);
-        proxy.silence_open();
+        proxy.blackhole_open_connections();
         let mut fresh = pool.connect(&address, false, TIMEOUT).await.unwrap();
         let response = tokio::time::timeout(TIMEOUT, fresh.send(request("two"))).await;
         assert!(response.is_ok_and(|response| response.is_ok()));
--- a/savoryport_platform/tests/kv_contract.rs
+++ b/savoryport_platform/tests/kv_contract.rs
@@ -88,7 +88,7 @@
     assert_matches!(kv.watch("a", 0, Duration::ZERO), Err(KvError::Unanswered(_)));
     standin.set_faults(|faults| {
         faults.down = false;
-        faults.lose_write_answers = 1;
+        faults.write_responses_to_drop = 1;
     });
     assert_matches!(kv.put_if("a", b"1", 0, None), Err(KvError::Unanswered(_)));
     assert_eq!(kv.get("a").unwrap().unwrap().value, b"1", "the write took effect");
@@ -114,7 +114,7 @@
     let proxy = Proxy::start("127.0.0.1:0", standin.address());
     let kv = EtcdClient::new(proxy.address(), TIMEOUT);
     assert_eq!(kv.get("a").unwrap(), None);
-    proxy.silence_open();
+    proxy.blackhole_open_connections();
     let started = Instant::now();
     assert_matches!(kv.get("a"), Err(KvError::Unanswered(_)));
     assert!(started.elapsed() < TIMEOUT * 3);
