--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -489,7 +489,8 @@
     let mut calls = Series::new("calls of the key-value service", "calls/s by servers held");
     for count in SERVERS_HELD {
         let control = ControlProcess::start(count)?;
-        let (cpu, before) = (thread_cpu_seconds(CONTROL_THREAD_NAME), control.fleet.kv.call_counts());
+        let (cpu, before) =
+            (thread_cpu_seconds(CONTROL_THREAD_NAME), control.fleet.kv.call_counts());
         std::thread::sleep(OBSERVATION_TIME);
         let after = control.fleet.kv.call_counts();
         let seconds = OBSERVATION_TIME.as_secs_f64();
