--- a/savoryport/src/node/leadership.rs
+++ b/savoryport/src/node/leadership.rs
@@ -176,7 +176,7 @@
 async fn release_all(cx: &NodeContext) {
     for controller in cx.controllers.all() {
         cx.controllers.close(&controller);
-        log::info!(domain = &*controller.domain; "leadership released");
+        log::info!(domain = &*controller.domain; "duty given up");
         end_lease(cx, controller.lease_id()).await;
     }
 }
--- a/savoryport/tests/strangers.rs
+++ b/savoryport/tests/strangers.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_endless_head_is_not_buffered() {
+fn a_head_without_an_end_takes_no_memory() {
     let site = start_site();
     let before = resident_kib(&site);
     let mut stream = connect(&site);
--- a/savoryport_core/tests/replica.rs
+++ b/savoryport_core/tests/replica.rs
@@ -108,7 +108,7 @@
     /// Nodes exchange, lose and repeat updates in any order and restart. The table version of a
     /// running node never decreases, and every node has the content that belongs to its version.
     #[test]
-    fn versions_never_decrease(
+    fn versions_only_rise(
         steps in prop::collection::vec((0..4_u8, 0..4_usize, 0..4_usize), 1..200)
     ) {
         let mut nodes = vec![Replica::default(); 4];
--- a/savoryport_core/tests/request_lifecycle.rs
+++ b/savoryport_core/tests/request_lifecycle.rs
@@ -54,7 +54,7 @@
     /// For any sequence of events, the outcome "not run" is only given if no server may have run the
     /// request, and a request that is not repeatable is never sent again after it may have run.
     #[test]
-    fn not_run_is_reported_only_if_no_server_may_have_run_the_request(
+    fn not_run_is_exact(
         events in prop::collection::vec(0..8_usize, 0..30), repeatable: bool
     ) {
         let mut lifecycle = RequestLifecycle::new(repeatable);
--- a/savoryport_core/tests/ticket.rs
+++ b/savoryport_core/tests/ticket.rs
@@ -66,14 +66,14 @@
     }
 
     #[test]
-    fn parsing_any_text_does_not_panic(text in ".{0,60}") {
+    fn any_text_is_a_ticket_or_refused(text in ".{0,60}") {
         let _ = text.parse::<Ticket>();
     }
 
     /// Tickets that are sent repeatedly at any time, also after restarts of their home, start a
     /// request at most once.
     #[test]
-    fn a_ticket_starts_a_request_at_most_once(
+    fn at_most_one_start(
         steps in prop::collection::vec((0..10_u8, 0..8_usize, 0..90_u64), 1..200)
     ) {
         let mut now = Instant::now();
