--- a/savoryport/src/cli/status.rs
+++ b/savoryport/src/cli/status.rs
@@ -22,7 +22,7 @@
     let listed = options.kv_client().list(keys::PREFIX);
     let mut text = String::new();
     match &listed {
-        Ok((entries, _)) => describe_platform(&mut text, entries),
+        Ok((entries, _)) => describe_stored_state(&mut text, entries),
         Err(err) => {
             let _ = writeln!(text, "key-value service: {err}");
         }
@@ -37,7 +37,7 @@
     Ok(text)
 }
 
-fn describe_platform(text: &mut String, entries: &[Entry]) {
+fn describe_stored_state(text: &mut String, entries: &[Entry]) {
     let read_value =
         |key: &str| entries.iter().find(|entry| entry.key == key).map(|e| e.value.as_slice());
     let table: Table = read_value(keys::TABLE)
--- a/savoryport/src/control/announce.rs
+++ b/savoryport/src/control/announce.rs
@@ -2,8 +2,8 @@
 //!
 //! The incarnation of a control process is the key-value service's revision of its announcement, so
 //! every node sees the successive processes of a VM in the same order. An announcement also shows
-//! that earlier processes of the VM have ended, since its process could bind their listening
-//! address.
+//! that earlier processes of the VM have ended, since the announcing process could bind the
+//! listening address that they used.
 
 use std::time::Duration;
 
--- a/savoryport/src/control/leases.rs
+++ b/savoryport/src/control/leases.rs
@@ -201,7 +201,7 @@
     }
 
     /// Returns the value that identifies this process and its lease in a lease's mark. It contains
-    /// the incarnation, because an earlier process of this VM has the same VM mark_name.
+    /// the incarnation, because an earlier process of this VM has the same VM name.
     fn mark_value(&self) -> String {
         let lease_id = self.held.id.unwrap_or_default();
         format!("{}~{}~{lease_id}", self.own_id.vm, self.own_id.incarnation)
--- a/savoryport/src/control/mod.rs
+++ b/savoryport/src/control/mod.rs
@@ -43,9 +43,9 @@
         /// The error of the operating system.
         err: std::io::Error,
     },
-    /// Listening on the address of the metrics page failed.
+    /// The metrics server cannot be started.
     #[error(transparent)]
-    Page(#[from] MetricsServerError),
+    MetricsServer(#[from] MetricsServerError),
 }
 
 /// The state that every task of the control process uses.
--- a/savoryport/src/control/shared_state.rs
+++ b/savoryport/src/control/shared_state.rs
@@ -88,23 +88,24 @@
     pub(super) fn record_demand(&self, vm: &Name, demand: Vec<(Name, f64)>, now: Instant) {
         self.follower_demand
             .lock()
-            .expect("lock is not poisoned")
+            .expect("no thread panics while holding the lock")
             .insert(vm.clone(), (now, demand));
     }
 
     /// Sets the status that the entry of this VM reported.
     pub(super) fn set_entry_status(&self, status: EntryStatus) {
-        *self.entry_status.lock().expect("lock is not poisoned") = Some(status);
+        *self.entry_status.lock().expect("no thread panics while holding the lock") = Some(status);
     }
 
     /// Returns the last reported status of this VM's entry.
     pub(super) fn entry_status(&self) -> Option<EntryStatus> {
-        self.entry_status.lock().expect("lock is not poisoned").clone()
+        self.entry_status.lock().expect("no thread panics while holding the lock").clone()
     }
 
     /// Returns the demand of all followers in slots, by model.
     pub(super) fn total_demand(&self, now: Instant) -> Vec<(Name, f64)> {
-        let mut reports = self.follower_demand.lock().expect("lock is not poisoned");
+        let mut reports =
+            self.follower_demand.lock().expect("no thread panics while holding the lock");
         reports
             .retain(|_, (reported_at, _)| now.saturating_duration_since(*reported_at) < DEMAND_TTL);
         let mut total: BTreeMap<Name, f64> = BTreeMap::new();
--- a/savoryport/src/entry/claim.rs
+++ b/savoryport/src/entry/claim.rs
@@ -55,7 +55,11 @@
 
     /// Records that a claimed request has not run, so that this process may claim it again.
     pub(super) fn abandon(&self, id: &str) {
-        self.state.lock().expect("no holder panics").abandoned.insert(id.to_owned());
+        self.state
+            .lock()
+            .expect("no thread panics while holding the lock")
+            .abandoned
+            .insert(id.to_owned());
     }
 
     fn claim_blocking(&self, kv: &EtcdClient, id: &str, owner: &str) -> ClaimResult {
@@ -79,13 +83,18 @@
             Ok(entry) => entry.is_some_and(|entry| entry.value == owner.as_bytes()),
             Err(_) => return ClaimResult::Unavailable,
         };
-        let was_abandoned = self.state.lock().expect("no holder panics").abandoned.remove(id);
+        let was_abandoned = self
+            .state
+            .lock()
+            .expect("no thread panics while holding the lock")
+            .abandoned
+            .remove(id);
         if is_own && was_abandoned { ClaimResult::Acquired } else { ClaimResult::AlreadyClaimed }
     }
 
     /// Returns the lease for a new claim, and grants a new lease if the current one is used up.
     fn claim_lease(&self, kv: &EtcdClient) -> Option<LeaseId> {
-        let mut state = self.state.lock().expect("no holder panics");
+        let mut state = self.state.lock().expect("no thread panics while holding the lock");
         if let Some((lease, remaining)) = &mut state.lease
             && *remaining > 0
         {
--- a/savoryport/src/entry/discovery.rs
+++ b/savoryport/src/entry/discovery.rs
@@ -1,7 +1,8 @@
-//! Tells callers which entries to use, which distributes the load over the entries.
+//! Tells callers which entries to use, so that the load is distributed over the entries.
 //!
-//! Callers of one model are sent to only a few entries, so that the load measurements and the
-//! knowledge of cached prefixes are good there; `docs/DESIGN.md` compares this to a random choice.
+//! Callers of one model are sent to only a few entries, so that these have accurate load
+//! measurements and know which prefixes are cached; `docs/DESIGN.md` compares this to a random
+//! choice.
 
 use std::time::Duration;
 
--- a/savoryport/src/entry/fleet.rs
+++ b/savoryport/src/entry/fleet.rs
@@ -54,21 +54,23 @@
 impl Demand {
     /// Records the arrival of a request.
     pub(super) fn record_arrival(&self, model: &Name, rank: Rank) {
-        let mut state = self.state.lock().expect("no holder panics");
+        let mut state = self.state.lock().expect("no thread panics while holding the lock");
         let seconds = state.mean_seconds[rank.index()];
         *state.slot_seconds.entry(model.clone()).or_default() += seconds;
     }
 
     /// Records for how long a completed request occupied a slot.
     pub(super) fn record_duration(&self, rank: Rank, duration: Duration) {
-        let mut state = self.state.lock().expect("no holder panics");
+        let mut state = self.state.lock().expect("no thread panics while holding the lock");
         let mean = &mut state.mean_seconds[rank.index()];
         *mean += (duration.as_secs_f64() - *mean) * DURATION_WEIGHT;
     }
 
     /// Returns the demand in slot-seconds since the last call, by model.
     fn take(&self) -> HashMap<Name, f64> {
-        std::mem::take(&mut self.state.lock().expect("no holder panics").slot_seconds)
+        std::mem::take(
+            &mut self.state.lock().expect("no thread panics while holding the lock").slot_seconds,
+        )
     }
 }
 
@@ -81,8 +83,8 @@
 ) -> watch::Receiver<Arc<Replica>> {
     let (tx, rx) = watch::channel(Arc::new(Replica::default()));
     let vm = settings.vm.clone();
-    // The local control process comes first because it is the nearest; peers stand in for it while
-    // it restarts.
+    // The local control process comes first because it is the nearest; the peers are used while it
+    // restarts.
     let addresses: Vec<String> = std::iter::once(settings.control_listen.clone())
         .chain(settings.peers.iter().cloned())
         .collect();
--- a/savoryport/src/entry/mod.rs
+++ b/savoryport/src/entry/mod.rs
@@ -47,7 +47,7 @@
     },
     /// The metrics server cannot be started.
     #[error(transparent)]
-    Page(#[from] MetricsServerError),
+    MetricsServer(#[from] MetricsServerError),
 }
 
 /// The state that all requests of the process share.
@@ -152,9 +152,9 @@
 
 fn serve_status(cx: &Arc<Context>, cancel: CancellationToken) -> Result<(), MetricsServerError> {
     let registry = cx.metrics.registry();
-    let page_cx = cx.clone();
+    let status_cx = cx.clone();
     let status = move || {
-        let cx = &page_cx;
+        let cx = &status_cx;
         let fleet = cx.fleet.borrow();
         json!({
             "vm": cx.settings.vm,
--- a/savoryport/src/entry/server.rs
+++ b/savoryport/src/entry/server.rs
@@ -65,7 +65,7 @@
         address: IpAddr,
         cx: &Context,
     ) -> Option<Self> {
-        let mut counts = connection_counts.lock().expect("no holder panics");
+        let mut counts = connection_counts.lock().expect("no thread panics while holding the lock");
         let total: usize = counts.values().sum();
         let from_address = counts.entry(address).or_default();
         let settings = &cx.settings;
@@ -81,7 +81,7 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        let mut counts = self.counts.lock().expect("no holder panics");
+        let mut counts = self.counts.lock().expect("no thread panics while holding the lock");
         if let Some(from_address) = counts.get_mut(&self.address) {
             *from_address -= 1;
             if *from_address == 0 {
--- a/savoryport/src/entry/service.rs
+++ b/savoryport/src/entry/service.rs
@@ -100,7 +100,7 @@
     running.await.unwrap_or_else(|_| Err(Refusal::outcome_unknown("internal")))
 }
 
-/// The decision which entry runs a call.
+/// Which entry runs a call.
 enum CallAdmission {
     /// This entry runs the call, under this request id.
     Start(String),
--- a/savoryport/tests/node_site/mod.rs
+++ b/savoryport/tests/node_site/mod.rs
@@ -257,7 +257,7 @@
     /// Prints the last log lines of every node, without those about ended requests, and its status.
     pub fn print_last_log_lines(&self, count: usize) {
         for node in &self.nodes {
-            let lines = node.log_lines.lock().expect("no holder panics");
+            let lines = node.log_lines.lock().expect("no thread panics while holding the lock");
             let lines: Vec<&str> = lines
                 .iter()
                 .map(String::as_str)
@@ -310,7 +310,7 @@
         let lines = self.log_lines.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(out).lines().map_while(Result::ok) {
-                lines.lock().expect("no holder panics").push(line);
+                lines.lock().expect("no thread panics while holding the lock").push(line);
             }
         });
         self.process = Some(child);
--- a/savoryport/tests/node_soak.rs
+++ b/savoryport/tests/node_soak.rs
@@ -82,7 +82,10 @@
                     let (_, address) = &targets[rng.random_range(0..targets.len())];
                     let answer = node_site::send_request(address, &id, kind);
                     check_answer(seed, &id, kind, &answer);
-                    responses.lock().expect("no holder panics").insert(id, (kind, answer.status));
+                    responses
+                        .lock()
+                        .expect("no thread panics while holding the lock")
+                        .insert(id, (kind, answer.status));
                 }
             });
         }
@@ -94,7 +97,11 @@
         clear_faults(&mut site);
         stopping.store(true, Ordering::Relaxed);
     });
-    check_runs(seed, &site, &responses.into_inner().expect("no holder panics"));
+    check_runs(
+        seed,
+        &site,
+        &responses.into_inner().expect("no thread panics while holding the lock"),
+    );
     check_orders(seed, &site);
     check_recovery(seed, &site);
 }
--- a/savoryport_core/src/dispatch/routing.rs
+++ b/savoryport_core/src/dispatch/routing.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Returns the server with the earliest expected first token, one of the own region if it meets the
-/// request's deadline.
+/// Returns the candidate with the earliest expected first token, from this entry's region if one
+/// there is expected to meet the request's deadline.
 pub(super) fn choose_server(
     cfg: &DispatchConfig,
     servers: &[ServerState],
--- a/savoryport_core/src/ledger/reconciler.rs
+++ b/savoryport_core/src/ledger/reconciler.rs
@@ -38,7 +38,7 @@
     /// Whether this process may act under its lease. If not, the reconciler only closes the stray
     /// orders that it left behind.
     pub may_act: bool,
-    /// Whether the weight store has room for another load.
+    /// Whether the limit on parallel loads from the weight store permits another load.
     pub may_load: bool,
 }
 
@@ -178,7 +178,7 @@
     pub fn next_step(&mut self, input: &ReconcileInput<'_>) -> Step {
         let Some((record, revision)) = self.cached_record.clone() else { return Step::Read };
         if self.unknown_write_base == Some(revision) && input.may_act {
-            // Writing the record unchanged moves its revision on, so that the write without a
+            // Writing the record unchanged increases its revision, so that the write without a
             // response cannot take effect later: it would not contain what was sent since.
             return Step::Write { record, revision };
         }
@@ -210,8 +210,8 @@
     fn close_own_strays(&self, record: &ServerRecord) -> Option<ServerRecord> {
         let is_mine =
             |stray: &StrayOrder| stray.issuer == self.own_id && stray.reach == StrayReach::Open;
-        let any = record.reservations.iter().flat_map(|r| &r.strays).any(is_mine);
-        if !any {
+        let has_own_open_stray = record.reservations.iter().flat_map(|r| &r.strays).any(is_mine);
+        if !has_own_open_stray {
             return None;
         }
         let mut record = record.clone();
--- a/savoryport_core/src/node/deployment.rs
+++ b/savoryport_core/src/node/deployment.rs
@@ -105,8 +105,8 @@
     pub loads_per_s: f64,
     /// The number of tokens in one event of a stream.
     pub tokens_per_event: u32,
-    /// The time to copy one cached token from another server's KV cache, in milliseconds; none
-    /// where engines cannot copy.
+    /// The time to copy one cached token from another server's KV cache, in milliseconds;
+    /// `None` if the engines cannot copy.
     pub copy_ms_per_token: Option<f64>,
     /// The models, by name.
     pub models: BTreeMap<Name, ModelSpec>,
--- a/savoryport_core/src/node/prefix.rs
+++ b/savoryport_core/src/node/prefix.rs
@@ -1,5 +1,5 @@
-//! The prompt prefixes that each server has probably cached, from the requests that were sent to
-//! it.
+//! The prompt prefixes that each server has probably cached, judging by the requests that were sent
+//! to it.
 
 use std::collections::HashMap;
 use std::time::Instant;
--- a/savoryport_core/src/node/registry.rs
+++ b/savoryport_core/src/node/registry.rs
@@ -35,7 +35,7 @@
         pub id: Name,
         /// The service that it belongs to.
         pub service: Name,
-        /// The address that it listens at.
+        /// The address that it listens on.
         pub address: SocketAddr,
         /// Its failure domain.
         pub failure_domain: Name,
--- a/savoryport_core/src/node/selection.rs
+++ b/savoryport_core/src/node/selection.rs
@@ -163,8 +163,8 @@
     pub service: &'a str,
     /// The rank of the request.
     pub rank: u8,
-    /// The time to copy one cached token from another server, in milliseconds; none where engines
-    /// cannot copy.
+    /// The time to copy one cached token from another server, in milliseconds; `None` if
+    /// the engines cannot copy.
     pub copy_ms_per_token: Option<f64>,
 }
 
--- a/savoryport_core/src/placement.rs
+++ b/savoryport_core/src/placement.rs
@@ -232,8 +232,8 @@
         worth * demand / (copies * (copies - 1.0))
     }
 
-    /// Returns the gain from a copy in a second failure domain, a tenth of the model's worth at its
-    /// whole demand.
+    /// Returns the additional gain of a second copy, which is placed in another failure domain if
+    /// possible: a tenth of the model's worth at its whole demand.
     fn spread_gain(&self, bundle: usize) -> f64 {
         if self.copies[bundle].len() == 1 {
             let Bundle { worth, demand, .. } = self.bundles[bundle];
--- a/savoryport_core/src/request_lifecycle.rs
+++ b/savoryport_core/src/request_lifecycle.rs
@@ -94,7 +94,7 @@
 }
 
 impl RequestLifecycle {
-    /// Starts with a request that is queued.
+    /// Creates the lifecycle of a request that is queued.
     ///
     /// `repeatable` is the table's value when the request arrives; [`RequestLifecycle::may_retry`]
     /// also takes the value at the time of the retry, since an operator may have changed it.
--- a/savoryport_core/src/ticket.rs
+++ b/savoryport_core/src/ticket.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// The text is not a valid ticket.
+/// The error for a text that is not a valid ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("not a ticket: use the value that the address answer gave")]
 pub struct MalformedTicket;
--- a/savoryport_core/tests/ledger_search.rs
+++ b/savoryport_core/tests/ledger_search.rs
@@ -26,7 +26,8 @@
 
 const CAPACITY_MIB: u32 = 100;
 
-/// Models that fill most of the memory in pairs, so that one that the ledger misses overcommits it.
+/// Models of which any two need most of the memory, so that it is soon overcommitted if the ledger
+/// lacks a loaded model.
 const MODELS: [(&str, u32); 4] = [("a", 60), ("b", 50), ("c", 40), ("d", 30)];
 
 /// A control process with at most one step in progress.
@@ -100,9 +101,9 @@
     fn step(&mut self) {
         match self.rng.random_range(0..1_000) {
             0..770 => {
-                let is_holder = self.rng.random_bool(0.7);
+                let pick_holder = self.rng.random_bool(0.7);
                 let any = self.rng.random_range(0..self.processes.len());
-                self.advance(if is_holder { self.lease_holder } else { any });
+                self.advance(if pick_holder { self.lease_holder } else { any });
             }
             770..880 => self.finish_load(),
             880..920 => self.change_plan(),
--- a/savoryport_core/tests/placement.rs
+++ b/savoryport_core/tests/placement.rs
@@ -105,9 +105,9 @@
     let table = Table { version: 1, rows, ..Table::default() };
     let fleet = servers(6, 100);
     let before = next_plan(&table, &fleet, &HashMap::new(), &Plan::default());
-    let left: Vec<ServerCapacity> =
+    let remaining: Vec<ServerCapacity> =
         fleet.into_iter().filter(|server| &*server.failure_domain == "d0").collect();
-    let after = next_plan(&table, &left, &HashMap::new(), &before);
+    let after = next_plan(&table, &remaining, &HashMap::new(), &before);
     assert!((0..8).all(|index| copy_count(&after, &format!("m{index}")) == 1));
 }
 
--- a/savoryport_core/tests/replica.rs
+++ b/savoryport_core/tests/replica.rs
@@ -1,4 +1,5 @@
-//! A node's replica only moves forward, whichever node sends an update and in whatever order.
+//! Tests that a replica never goes back to an older state, whichever node sends an update and in
+//! whatever order updates arrive.
 
 use proptest::prelude::*;
 use savoryport_core::rank::Rank;
