--- a/savoryport/src/control/leases.rs
+++ b/savoryport/src/control/leases.rs
@@ -33,8 +33,8 @@
 #[derive(Debug, Clone)]
 pub(super) struct HeldLeases {
     groups: BTreeSet<Name>,
-    /// The key-value service's lease, which the leases of all groups are attached to.
-    id: Option<LeaseId>,
+    /// The lease in the key-value service that the keys of all held groups are attached to.
+    kv_lease_id: Option<LeaseId>,
     lease: Lease,
 }
 
@@ -60,7 +60,7 @@
     cancel: CancellationToken,
 ) -> HeldLeasesReceiver {
     let lease = Lease::new(Duration::from_millis(cx.settings.lease_ttl_ms));
-    let held = HeldLeases { groups: BTreeSet::new(), id: None, lease };
+    let held = HeldLeases { groups: BTreeSet::new(), kv_lease_id: None, lease };
     let (held_tx, rx) = watch::channel(Arc::new(held.clone()));
     let task = LeaseTask { cx: cx.clone(), own_id, held, free_since: BTreeMap::new(), held_tx };
     tokio::spawn(cancel.run_until_cancelled_owned(task.run()));
@@ -69,7 +69,7 @@
 
 /// Revokes the lease at shutdown, so that other processes do not have to wait for it to expire.
 pub(super) async fn release(cx: &Context, held_leases: &HeldLeasesReceiver) {
-    let id = held_leases.borrow().id;
+    let id = held_leases.borrow().kv_lease_id;
     if let Some(id) = id {
         let _ = cx.kv.revoke(id).await;
     }
@@ -90,7 +90,7 @@
         let mut renewed_at = self.cx.clock.now();
         loop {
             let now = self.cx.clock.now();
-            if self.held.id.is_some() && now - renewed_at >= renewal_period {
+            if self.held.kv_lease_id.is_some() && now - renewed_at >= renewal_period {
                 renewed_at = now;
                 self.renew(now).await;
             }
@@ -108,14 +108,14 @@
     }
 
     async fn renew(&mut self, now: Instant) {
-        let Some(id) = self.held.id else { return };
+        let Some(id) = self.held.kv_lease_id else { return };
         match self.cx.kv.keep_alive(id).await {
             Ok(true) => self.held.lease.on_renewed(now),
             Ok(false) => {
                 log::warn!(groups = self.held.groups.len(); "leases expired");
                 self.held.lease.on_lost();
                 self.held.groups.clear();
-                self.held.id = None;
+                self.held.kv_lease_id = None;
             }
             // The lease may still exist, so this process may act until its local time limit.
             Err(_) => {}
@@ -203,23 +203,23 @@
     /// Returns the value that identifies this process and its lease in a lease's mark. It contains
     /// the incarnation, because an earlier process of this VM has the same VM name.
     fn mark_value(&self) -> String {
-        let lease_id = self.held.id.unwrap_or_default();
+        let lease_id = self.held.kv_lease_id.unwrap_or_default();
         format!("{}~{}~{lease_id}", self.own_id.vm, self.own_id.incarnation)
     }
 
     /// Returns the id of the lease, which is granted first if there is none.
     async fn ensure_lease(&mut self, sent_at: Instant) -> Option<LeaseId> {
-        if self.held.id.is_none() {
+        if self.held.kv_lease_id.is_none() {
             let time_to_live = Duration::from_millis(self.cx.settings.lease_ttl_ms);
             self.held.lease.on_acquire_sent();
             match self.cx.kv.grant_lease(time_to_live).await {
                 Ok(id) => {
                     self.held.lease.on_acquired(sent_at);
-                    self.held.id = Some(id);
+                    self.held.kv_lease_id = Some(id);
                 }
                 Err(_) => self.held.lease.on_lost(),
             }
         }
-        self.held.id
+        self.held.kv_lease_id
     }
 }
--- a/savoryport/src/entry/completion.rs
+++ b/savoryport/src/entry/completion.rs
@@ -106,7 +106,7 @@
         let response = Response::builder().header(CONTENT_TYPE, "text/event-stream");
         return Ok(response.body(body).expect("the headers are valid"));
     }
-    job.respond_whole(started).await
+    job.respond_without_streaming(started).await
 }
 
 impl Job {
@@ -365,7 +365,7 @@
     }
 
     /// Returns the response to a request without streaming.
-    async fn respond_whole(
+    async fn respond_without_streaming(
         mut self,
         mut started: StartedResponse,
     ) -> Result<CallerResponse, Refusal> {
--- a/savoryport_core/src/dispatch/mod.rs
+++ b/savoryport_core/src/dispatch/mod.rs
@@ -210,13 +210,13 @@
         now: Instant,
     ) -> Vec<Action> {
         let Some(&index) = self.server_indices.get(server) else { return Vec::new() };
-        let token = sample.between_tokens.unwrap_or_default();
+        let between_tokens = sample.between_tokens.unwrap_or_default();
         let idle = routing::uncached_idle_first_token(
             &self.cfg,
             &self.servers[index],
             sample.prompt_tokens,
         );
-        self.servers[index].finish(item, rank, sample, idle.saturating_add(token), now);
+        self.servers[index].finish(item, rank, sample, idle.saturating_add(between_tokens), now);
         self.start_waiting(index, now)
     }
 
