--- a/savoryport_platform/src/kv.rs
+++ b/savoryport_platform/src/kv.rs
@@ -17,7 +17,7 @@
 /// The id of a lease, which expires unless it is renewed.
 pub type LeaseId = i64;
 
-/// The time beyond a watch's own wait after which the client stops waiting for the service.
+/// How much longer than the wait of a watch the client waits for the service's response.
 const WATCH_GRACE: Duration = Duration::from_millis(500);
 
 /// The size limit of a response, in bytes.
@@ -85,7 +85,7 @@
 /// `docs/INTERFACES.md` specifies the contract; the contract tests can run against any
 /// implementation.
 pub trait KeyValueService: Send + Sync {
-    /// Why a call failed.
+    /// The error of a failed call.
     type Error;
 
     /// Reads a key; returns none if it does not exist.
--- a/savoryport_platform/tests/engine_contract.rs
+++ b/savoryport_platform/tests/engine_contract.rs
@@ -108,15 +108,15 @@
         let mut first = pool.connect(&address, true, TIMEOUT).await.unwrap();
         first.send(request("one")).await.unwrap().into_body().collect().await.unwrap();
         pool.release(first);
-        // The connection is cut before the response to the next request arrives.
+        // The connection is closed before the response to the next request arrives.
         service.set_faults(|faults| faults.delay = Duration::from_millis(200));
         let mut second = pool.connect(&address, true, TIMEOUT).await.unwrap();
         let send = second.send(request("two"));
-        let cut = async {
+        let close = async {
             tokio::time::sleep(Duration::from_millis(80)).await;
             proxy.close_connections();
         };
-        let (result, ()) = tokio::join!(send, cut);
+        let (result, ()) = tokio::join!(send, close);
         assert_matches!(result, Err(SendError::Broken { .. }));
     });
     std::thread::sleep(Duration::from_millis(300));
--- a/savoryport_platform/tests/kv_contract.rs
+++ b/savoryport_platform/tests/kv_contract.rs
@@ -1,5 +1,5 @@
 //! Contract tests that any implementation of the key-value service must pass, and tests of the etcd
-//! client's behaviour in faults.
+//! client's behaviour under faults.
 
 use std::time::{Duration, Instant};
 
--- a/savoryport_standin/src/backend.rs
+++ b/savoryport_standin/src/backend.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the platform's backend servers: plain services and model engines.
 //!
-//! It keeps its own counts of what the guarantees are about: how often each request ran, which
-//! orders came from which leader, and how often memory was overcommitted.
+//! It records what savoryport's guarantees limit: how often each request ran, which leader sent
+//! which orders, and how often memory was overcommitted.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
@@ -76,7 +76,7 @@
 /// An order that the server received.
 #[derive(Debug, Clone)]
 pub struct ReceivedOrder {
-    /// The node that sent it.
+    /// The VM of the leader that sent it.
     pub holder: String,
     /// The fencing token of the order.
     pub fencing_token: u64,
@@ -271,11 +271,11 @@
     let target = header(&req, "x-model");
     let fault = {
         let mut state = state.lock().expect("no thread panics while holding the lock");
-        let is_other_server =
+        let is_for_other_server =
             header(&req, "x-expect-instance").is_some_and(|expected| expected != cfg.id);
         let is_not_loaded = target.as_deref().is_some_and(|target| !state.has_loaded(target));
         let status = match state.fault {
-            _ if is_other_server || is_not_loaded => Some(421),
+            _ if is_for_other_server || is_not_loaded => Some(421),
             BackendFault::Full => Some(503),
             _ => None,
         };
--- a/savoryport_standin/src/engine.rs
+++ b/savoryport_standin/src/engine.rs
@@ -314,8 +314,8 @@
     shared.changed.notify_all();
 }
 
-/// Admits a completion and returns whether its prompt prefix is cached. Returns `None` if the engine
-/// drains or has not loaded the model.
+/// Admits a completion and returns whether its prompt prefix is cached. Returns `None` if the
+/// engine drains or has not loaded the model.
 fn admit(shared: &Shared, completion: &CompletionRequest) -> Option<bool> {
     let mut state = shared.lock();
     let is_ready = state.items.get(&completion.model).is_some_and(|item| item.is_ready);
@@ -359,8 +359,8 @@
     shared.changed.notify_all();
 }
 
-/// Returns the text of the token at a position. It contains the end of the prompt, by which a client
-/// can tell which request the token belongs to.
+/// Returns the text of the token at a position. It contains the end of the prompt, by which a
+/// client can tell which request the token belongs to.
 fn token_text(completion: &CompletionRequest, position: u32) -> String {
     let text = completion.text();
     let prompt_end: String =
@@ -368,7 +368,7 @@
     format!(" {prompt_end}/{position}")
 }
 
-fn completion_answer(
+fn completion_response(
     completion: &CompletionRequest,
     text: String,
     is_last: bool,
@@ -389,7 +389,7 @@
             return false;
         }
         let is_last = position + 1 == completion.max_tokens;
-        let event = completion_answer(completion, token_text(completion, position), is_last);
+        let event = completion_response(completion, token_text(completion, position), is_last);
         let event = serde_json::to_string(&event).expect("a completion can be serialized");
         if stream.send(&format!("data: {event}\n\n")).is_err() {
             return false;
@@ -410,6 +410,6 @@
     let tokens = completion.resume_from..completion.max_tokens;
     thread::sleep(shared.cfg.token_time * tokens.len() as u32);
     let text: String = tokens.map(|position| token_text(completion, position)).collect();
-    respond_json(req, 200, &completion_answer(completion, text, true));
+    respond_json(req, 200, &completion_response(completion, text, true));
     true
 }
--- a/savoryport_standin/src/fleet.rs
+++ b/savoryport_standin/src/fleet.rs
@@ -26,11 +26,11 @@
 }
 
 impl LocalFleet {
-    /// Starts a stand-in for each engine and service of a list, and replaces the addresses of all VMs by
-    /// free loopback addresses.
+    /// Starts a stand-in for each engine and service of a list, and replaces the addresses of all
+    /// VMs with free loopback addresses.
     ///
-    /// `lag` is the time after which a change of the VM list becomes visible. `engine_config` returns
-    /// the configuration of an engine from its entry in the list.
+    /// `lag` is the time after which a change of the VM list becomes visible. `engine_config`
+    /// returns the configuration of an engine from its entry in the list.
     pub fn start(
         mut list: VmList,
         lag: Duration,
--- a/savoryport_standin/src/kv.rs
+++ b/savoryport_standin/src/kv.rs
@@ -12,8 +12,8 @@
 
 use crate::http::{ChunkedResponse, HttpServer, drop_response, read_body, respond_json};
 
-/// The maximum interval between two messages of a watch. A watch without events sends empty messages to
-/// detect that its client has disconnected.
+/// The maximum interval between two messages of a watch. A watch without events sends empty
+/// messages to detect that its client has disconnected.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The maximum number of past events that are kept for watches with an earlier start revision.
@@ -28,11 +28,11 @@
     pub delay: Duration,
     /// The number of upcoming writes that take effect but get no response.
     pub write_responses_to_drop: u32,
-    /// The maximum number of reads per second; further ones are rejected with status 429. `None` means
-    /// no limit.
+    /// The maximum number of reads per second; further ones are rejected with status 429. `None`
+    /// means no limit.
     pub max_reads_per_second: Option<u32>,
-    /// The maximum number of writes per second; further ones are rejected with status 429. `None` means
-    /// no limit.
+    /// The maximum number of writes per second; further ones are rejected with status 429. `None`
+    /// means no limit.
     pub max_writes_per_second: Option<u32>,
 }
 
@@ -177,7 +177,7 @@
         self.events.drain(..excess);
     }
 
-    /// Counts a call and tells whether it exceeds the rate limit.
+    /// Counts a call and returns whether it exceeds the rate limit.
     fn is_over_rate(&mut self, now: Instant, is_write: bool) -> bool {
         if self.window_start.is_none_or(|start| now - start >= Duration::from_secs(1)) {
             self.window_start = Some(now);
@@ -323,8 +323,8 @@
     }
 }
 
-/// Waits up to [`WATCH_INTERVAL`] for events of a key range from a revision on. Returns the events, the
-/// current revision and whether the service is down.
+/// Waits up to [`WATCH_INTERVAL`] for events of a key range from a revision on. Returns the events,
+/// the current revision and whether the service is down.
 fn wait_for_events(
     shared: &Shared,
     key: &str,
@@ -348,7 +348,7 @@
     (find_events(&state), state.revision, state.faults.down)
 }
 
-/// Tells whether a base64-encoded key lies in a range; keys are compared by their decoded bytes.
+/// Returns whether a base64-encoded key lies in a range; keys are compared by their decoded bytes.
 fn is_in_range(candidate: &str, key: &str, end: Option<&str>) -> bool {
     let decode = |text: &str| STANDARD.decode(text).unwrap_or_default();
     match end {
--- a/savoryport_standin/src/lib.rs
+++ b/savoryport_standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for the systems that savoryport serves, and a fault-injecting proxy.
+//! Small stand-ins for the systems that savoryport connects to, and a fault-injecting proxy.
 //!
-//! They implement the published protocols, inject faults on demand, and keep their own counts of
-//! what the guarantees are about (overcommitted memory, executions of a request). They share the
-//! project's wire types but none of its logic, so that their counts are independent of it.
+//! They implement the published protocols, inject faults on demand, and count what savoryport's
+//! guarantees limit: overcommitted memory and executions of a request. They share the project's
+//! wire types but none of its logic, so that their counts are independent of it.
 
 pub mod backend;
 pub mod engine;
--- a/savoryport_standin/src/metadata.rs
+++ b/savoryport_standin/src/metadata.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the platform's metadata store: keys with revisions, leases, watches and transactions.
+//! A stand-in for the platform's metadata store: keys with revisions, leases, watches and
+//! transactions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -288,26 +289,26 @@
 }
 
 fn transact(shared: &Shared, body: &Value) -> (u16, Value) {
-    let rows = |name: &str| body[name].as_array().cloned().unwrap_or_default();
+    let elements = |name: &str| body[name].as_array().cloned().unwrap_or_default();
     let mut state = shared.lock();
-    for row in rows("precondition") {
-        let key = row["key"].as_str().unwrap_or_default();
+    for element in elements("precondition") {
+        let key = element["key"].as_str().unwrap_or_default();
         let current_revision = state.keys.get(key).map_or(0, |stored| stored.revision);
-        if Some(current_revision) != row["revision"].as_u64() {
+        if Some(current_revision) != element["revision"].as_u64() {
             return (412, json!({ "items": [] }));
         }
     }
-    for row in rows("write") {
-        let lease = row["lease"].as_u64().unwrap_or(0);
+    for element in elements("write") {
+        let lease = element["lease"].as_u64().unwrap_or(0);
         if lease != 0 && !state.leases.contains_key(&lease) {
             return (404, json!({}));
         }
     }
-    for row in rows("write") {
-        let text = |name: &str| row[name].as_str().unwrap_or_default().to_owned();
-        state.put(&text("key"), text("value"), row["lease"].as_u64().unwrap_or(0));
+    for element in elements("write") {
+        let text = |name: &str| element[name].as_str().unwrap_or_default().to_owned();
+        state.put(&text("key"), text("value"), element["lease"].as_u64().unwrap_or(0));
     }
-    for key in rows("remove") {
+    for key in elements("remove") {
         state.remove(key.as_str().unwrap_or_default());
     }
     shared.changed.notify_all();
--- a/savoryport_standin/src/proxy.rs
+++ b/savoryport_standin/src/proxy.rs
@@ -128,7 +128,8 @@
     }
 }
 
-/// Waits until a chunk of `len` bytes may be forwarded. Returns false if the connection is blackholed.
+/// Waits until a chunk of `len` bytes may be forwarded. Returns false if the connection is
+/// blackholed.
 fn wait_to_forward(shared: &Shared, connection: u64, len: usize) -> bool {
     loop {
         if is_blackholed(shared, connection) {
--- a/savoryport_standin/src/vm_list.rs
+++ b/savoryport_standin/src/vm_list.rs
@@ -49,8 +49,8 @@
         self.server.address()
     }
 
-    /// Publishes a changed list with the next version number after the lag. `edit` changes the latest
-    /// list, including changes that are not published yet.
+    /// Applies `edit` to the latest list, including changes that are not published yet, and
+    /// publishes the result under the next version number after the lag.
     pub fn change(&self, edit: impl FnOnce(&mut VmList)) {
         let mut list = {
             let state = self.state.lock().expect("no thread panics while holding the lock");
