--- a/savoryport_bench/src/bin/demo.rs
+++ b/savoryport_bench/src/bin/demo.rs
@@ -140,11 +140,11 @@
         let (status, outcome, text) = post(entry, "/v1/completions", None, &body)?;
         println!("{rank:>7} completion of {model}: {status} {outcome} {text}");
     }
-    let answer: Value = ureq::get(format!("http://{entry}/v1/entry?item=restock"))
+    let response: Value = ureq::get(format!("http://{entry}/v1/entry?item=restock"))
         .call()?
         .body_mut()
         .read_json()?;
-    let ticket = answer["ticket"].as_str().unwrap_or_default();
+    let ticket = response["ticket"].as_str().unwrap_or_default();
     for again in ["first", "again"] {
         let body = json!({ "beads": 40 });
         let (status, outcome, text) = post(entry, "/services/restock/order", Some(ticket), &body)?;
@@ -165,11 +165,11 @@
     if let Some(ticket) = ticket {
         req = req.header("x-savoryport-ticket", ticket);
     }
-    let mut answer = req.send_json(body)?;
-    let outcome = answer.headers().get("x-savoryport-outcome");
+    let mut response = req.send_json(body)?;
+    let outcome = response.headers().get("x-savoryport-outcome");
     let outcome = outcome.and_then(|value| value.to_str().ok()).unwrap_or("none").to_owned();
-    let text = answer.body_mut().read_to_string()?;
-    Ok((answer.status().as_u16(), outcome, text))
+    let text = response.body_mut().read_to_string()?;
+    Ok((response.status().as_u16(), outcome, text))
 }
 
 fn print_hints(entry: &str, fleet: &LocalFleet) {
--- a/savoryport_bench/src/capacity.rs
+++ b/savoryport_bench/src/capacity.rs
@@ -52,7 +52,7 @@
 /// How long a steady state is observed.
 const OBSERVATION_TIME: Duration = Duration::from_secs(6);
 
-/// The number of table changes that are propagated to the followers.
+/// The number of table changes whose propagation to the followers is measured.
 const TABLE_CHANGES: u64 = 10;
 
 /// The name of the control process's threads, whose CPU time is measured.
@@ -60,14 +60,14 @@
 
 /// A value measured at several sizes.
 struct Series {
-    figure: &'static str,
+    name: &'static str,
     unit: &'static str,
     points: Vec<(f64, f64)>,
 }
 
 impl Series {
-    fn new(figure: &'static str, unit: &'static str) -> Self {
-        Self { figure, unit, points: Vec::new() }
+    fn new(name: &'static str, unit: &'static str) -> Self {
+        Self { name, unit, points: Vec::new() }
     }
 
     fn add(&mut self, size: usize, value: f64) {
@@ -93,7 +93,7 @@
             self.points.iter().map(|(x, y)| format!("{x:.0}: {y:.3}")).collect();
         format!(
             "| {} | {} | {} | {slope:.4} | {intercept:.3} | {residual:.3} |",
-            self.figure,
+            self.name,
             self.unit,
             points.join(", ")
         )
@@ -238,8 +238,8 @@
 fn measure_decisions() -> Vec<Series> {
     let mut planning = Series::new("a plan without a previous plan", "ms by servers");
     let mut replanning = Series::new("the next plan, after a shift of demand", "ms by servers");
-    let mut median = Series::new("routing a request, median", "us by servers");
-    let mut slowest = Series::new("routing a request, p99", "us by servers");
+    let mut routing_p50 = Series::new("routing a request, median", "us by servers");
+    let mut routing_p99 = Series::new("routing a request, p99", "us by servers");
     for fraction in SIZE_FRACTIONS {
         let servers = (SERVERS as f64 * fraction) as usize;
         let models = (MODELS as f64 * fraction) as usize;
@@ -247,10 +247,10 @@
         planning.add(servers, first);
         replanning.add(servers, next);
         let (p50, p99) = time_routing(servers);
-        median.add(servers, p50);
-        slowest.add(servers, p99);
+        routing_p50.add(servers, p50);
+        routing_p99.add(servers, p99);
     }
-    vec![planning, replanning, median, slowest]
+    vec![planning, replanning, routing_p50, routing_p99]
 }
 
 /// Returns the time of a plan without a previous plan, and of the next plan after the demand has
@@ -408,7 +408,7 @@
         while loaded() < engines && started.elapsed() < Duration::from_secs(60) {
             std::thread::sleep(Duration::from_millis(100));
         }
-        // Waits until the updates that the last load triggers have finished.
+        // Leaves time for the updates that the last load triggers.
         std::thread::sleep(Duration::from_secs(3));
     }
 }
@@ -426,22 +426,22 @@
     let mut change = Series::new("a changed row, all followers", "bytes by followers");
     let mut propagation =
         Series::new("a changed row, until the last follower has it", "ms by followers");
-    let mut time = Series::new("CPU time with idle followers", "% of a core by followers");
+    let mut cpu_time = Series::new("CPU time with idle followers", "% of a core by followers");
     for count in FOLLOWERS {
         let control = ControlProcess::start(4)?;
         let proxy = Proxy::start("127.0.0.1:0", &control.address);
-        let others =
+        let follower_runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
         let (tx, rx) = std::sync::mpsc::channel();
         for index in 0..count {
-            others.spawn(follow(proxy.address().to_owned(), index, tx.clone()));
+            follower_runtime.spawn(run_follower(proxy.address().to_owned(), index, tx.clone()));
         }
         std::thread::sleep(Duration::from_secs(2));
         let (bytes, cpu) = (proxy.forwarded_bytes(), thread_cpu_seconds(CONTROL_THREAD_NAME));
         std::thread::sleep(OBSERVATION_TIME);
         let seconds = OBSERVATION_TIME.as_secs_f64();
         idle.add(count, (proxy.forwarded_bytes() - bytes) as f64 / seconds);
-        time.add(count, (thread_cpu_seconds(CONTROL_THREAD_NAME) - cpu) / seconds * 100.0);
+        cpu_time.add(count, (thread_cpu_seconds(CONTROL_THREAD_NAME) - cpu) / seconds * 100.0);
         let bytes = proxy.forwarded_bytes();
         let mut slowest: f64 = 0.0;
         for version in 2..2 + TABLE_CHANGES {
@@ -457,12 +457,12 @@
         }
         change.add(count, (proxy.forwarded_bytes() - bytes) as f64 / TABLE_CHANGES as f64);
         propagation.add(count, slowest);
-        others.shutdown_background();
+        follower_runtime.shutdown_background();
     }
-    Ok(vec![idle, change, propagation, time])
+    Ok(vec![idle, change, propagation, cpu_time])
 }
 
-async fn follow(address: String, index: usize, tx: std::sync::mpsc::Sender<u64>) {
+async fn run_follower(address: String, index: usize, tx: std::sync::mpsc::Sender<u64>) {
     let Ok(client) = ControlClient::connect(&address).await else { return };
     let mut replica = Replica::default();
     loop {
@@ -485,7 +485,7 @@
 /// Measures the CPU time and key-value calls that idle servers cost the process that holds their
 /// leases.
 fn measure_reconciliation() -> Result<Vec<Series>, BoxError> {
-    let mut time = Series::new("CPU time of a lease holder", "% of a core by servers held");
+    let mut cpu_time = Series::new("CPU time of a lease holder", "% of a core by servers held");
     let mut calls = Series::new("calls of the key-value service", "calls/s by servers held");
     for count in SERVERS_HELD {
         let control = ControlProcess::start(count)?;
@@ -494,12 +494,12 @@
         std::thread::sleep(OBSERVATION_TIME);
         let after = control.fleet.kv.call_counts();
         let seconds = OBSERVATION_TIME.as_secs_f64();
-        time.add(count, (thread_cpu_seconds(CONTROL_THREAD_NAME) - cpu) / seconds * 100.0);
+        cpu_time.add(count, (thread_cpu_seconds(CONTROL_THREAD_NAME) - cpu) / seconds * 100.0);
         let total =
             |calls: savoryport_standin::kv::CallCounts| calls.reads + calls.writes + calls.watches;
         calls.add(count, (total(after) - total(before)) as f64 / seconds);
     }
-    Ok(vec![time, calls])
+    Ok(vec![cpu_time, calls])
 }
 
 /// Returns the resident memory of this process in KiB.
--- a/savoryport_bench/src/path_overhead.rs
+++ b/savoryport_bench/src/path_overhead.rs
@@ -24,8 +24,8 @@
 /// How long requests are sent at each concurrency.
 const LOAD_DURATION: Duration = Duration::from_secs(4);
 
-/// The number of tokens in each answer.
-const TOKENS_PER_ANSWER: u32 = 4;
+/// The number of tokens in each response.
+const TOKENS_PER_RESPONSE: u32 = 4;
 
 /// The name of the entry's threads, whose CPU time is measured.
 const ENTRY_THREAD_NAME: &str = "entry";
@@ -173,13 +173,12 @@
     LoadResult { requests: first_token.len(), first_token, seconds }
 }
 
-/// Sends one request, reads its complete answer, and returns the time to its first token.
+/// Sends one request, reads its complete response, and returns the time to its first token.
 fn time_to_first_token(agent: &ureq::Agent, address: &str) -> Result<Duration, BoxError> {
-    let body =
-        json!({ "model": "m", "prompt": "hello", "max_tokens": TOKENS_PER_ANSWER, "stream": true });
+    let body = json!({ "model": "m", "prompt": "hello", "max_tokens": TOKENS_PER_RESPONSE, "stream": true });
     let began = Instant::now();
-    let answer = agent.post(format!("http://{address}/v1/completions")).send_json(body)?;
-    let mut lines = BufReader::new(answer.into_body().into_reader()).lines();
+    let response = agent.post(format!("http://{address}/v1/completions")).send_json(body)?;
+    let mut lines = BufReader::new(response.into_body().into_reader()).lines();
     let first = lines.next().ok_or("the answer has no first token")??;
     let time = began.elapsed();
     let last = lines.map_while(Result::ok).filter(|line| !line.is_empty()).last();
--- a/savoryport_bench/src/policy/report.rs
+++ b/savoryport_bench/src/policy/report.rs
@@ -110,10 +110,10 @@
     pub fn target_table(&self) -> String {
         let mut text = String::new();
         for (run, target) in self.targets() {
-            let verdict = if target.passes() { "pass" } else { "FALLS SHORT" };
+            let result = if target.passes() { "pass" } else { "FALLS SHORT" };
             let _ = writeln!(
                 text,
-                "{verdict:<12} {run:<30} {:<46} bound {:>6.3} median {:>6.3} worst {:>6.3}",
+                "{result:<12} {run:<30} {:<46} bound {:>6.3} median {:>6.3} worst {:>6.3}",
                 target.description, target.bound, target.median, target.worst
             );
         }
@@ -130,10 +130,11 @@
                 if now.is_empty() || then.is_empty() {
                     continue;
                 }
-                let figure = |scores: &[Score], of: fn(&Score) -> f64| {
-                    median(&scores.iter().map(of).collect::<Vec<_>>())
+                let median_of = |scores: &[Score], metric: fn(&Score) -> f64| {
+                    median(&scores.iter().map(metric).collect::<Vec<_>>())
                 };
-                let pair = |of: fn(&Score) -> f64| (figure(then, of), figure(now, of));
+                let pair =
+                    |metric: fn(&Score) -> f64| (median_of(then, metric), median_of(now, metric));
                 let (attain_then, attain_now) = pair(Score::attainment);
                 let (urgent_then, urgent_now) = pair(|score| score.rank_attainment(Rank::Urgent));
                 let (moves_then, moves_now) = pair(|score| score.moves as f64);
@@ -200,23 +201,29 @@
 }
 
 fn row(workload: &str, policy: &str, scores: &[Score]) -> String {
-    let figure = |of: &dyn Fn(&Score) -> f64| median(&scores.iter().map(of).collect::<Vec<_>>());
+    let median_of =
+        |metric: &dyn Fn(&Score) -> f64| median(&scores.iter().map(metric).collect::<Vec<_>>());
     let total = |score: &Score| score.offered.iter().sum::<u64>().max(1) as f64;
     format!(
         "{workload:<14} {policy:<13} {:>7.3} {:>7.3} {:>7.3} {:>7.3} {:>7.3} {:>7.3} {:>6.0} {:>7.3}",
-        figure(&Score::attainment),
-        figure(&Score::share_of_bound),
-        figure(&|score| score.rank_attainment(Rank::Urgent)),
-        figure(&|score| score.rank_attainment(Rank::Normal)),
-        figure(&|score| score.rank_attainment(Rank::Batch)),
-        figure(&|score| score.refused as f64 / total(score)),
-        figure(&|score| score.moves as f64),
-        figure(&|score| score.crossed as f64 / total(score)),
+        median_of(&Score::attainment),
+        median_of(&Score::share_of_bound),
+        median_of(&|score| score.rank_attainment(Rank::Urgent)),
+        median_of(&|score| score.rank_attainment(Rank::Normal)),
+        median_of(&|score| score.rank_attainment(Rank::Batch)),
+        median_of(&|score| score.refused as f64 / total(score)),
+        median_of(&|score| score.moves as f64),
+        median_of(&|score| score.crossed as f64 / total(score)),
     )
 }
 
-fn target(description: &str, bound: f64, scores: &[Score], of: impl Fn(&Score) -> f64) -> Target {
-    let values: Vec<f64> = scores.iter().map(of).collect();
+fn target(
+    description: &str,
+    bound: f64,
+    scores: &[Score],
+    metric: impl Fn(&Score) -> f64,
+) -> Target {
+    let values: Vec<f64> = scores.iter().map(metric).collect();
     let (median, worst) = (median(&values), worst(&values, true));
     Target { description: description.to_owned(), bound, median, worst, larger_is_better: true }
 }
--- a/savoryport_bench/src/policy/sim/mod.rs
+++ b/savoryport_bench/src/policy/sim/mod.rs
@@ -21,7 +21,7 @@
 use super::upper_bound;
 use super::workload::{Faults, TRACE_SECONDS, TraceRequest, Workload};
 
-/// The guaranteed share of each rank, which equals the default of the daemons.
+/// The guaranteed share of the slots for each rank, which equals the default of the daemons.
 pub const GUARANTEED_SHARES: [f64; 3] = [0.6, 0.3, 0.1];
 
 /// The interval between checks of the deadlines, in seconds.
@@ -39,7 +39,7 @@
 /// The one-way delay between regions, in seconds.
 const REGION_DELAY: f64 = 0.020;
 
-/// The maximum number of copies that one plan displaces.
+/// The maximum number of new copies that may displace others in one plan.
 const MOVE_BUDGET: usize = 2;
 
 /// The queue length at a server from which the least-recently-used baseline adds a copy.
@@ -79,7 +79,8 @@
     }
 }
 
-/// The progress of one request.
+/// The progress of one request, in seconds. `sent_at` and `first_token_at` count from the start of
+/// the trace.
 #[derive(Debug, Clone, Copy, Default)]
 struct RequestProgress {
     entry: usize,
@@ -293,7 +294,8 @@
     }
 
     fn caller_region(&self, req: &TraceRequest) -> Name {
-        // Regions with more entries have more callers; they are also those with most engines.
+        // Callers are spread over the regions in proportion to the entries. The regions with the
+        // most entries also have the most engines.
         let vms = &self.deployment.entries;
         vms[(req.random_unit * 7.919 * vms.len() as f64) as usize % vms.len()].region.clone()
     }
@@ -466,7 +468,8 @@
         }
     }
 
-    /// Submits a request again; completions may repeat. The deadline still counts from the arrival.
+    /// Submits a request again, as completions may be executed more than once. The deadline still
+    /// counts from the arrival.
     fn resubmit(&mut self, request: usize) {
         let req = &self.trace[request];
         let row = self.items[req.item];
@@ -538,8 +541,8 @@
             })
             .collect();
         for request in running {
-            // The daemons resume a stream at another server, and its target still counts from its
-            // arrival. The simulation ends it here and does not count it as attained.
+            // The daemons resume a stream at another server, and its target still counts from the
+            // request's arrival. The simulation ends it here and does not count it as attained.
             self.progress[request].is_finished = true;
         }
     }
