--- a/savoryport/src/bin/node.rs
+++ b/savoryport/src/bin/node.rs
@@ -40,10 +40,10 @@
         Err(err) => return exit_with_error(&err.to_string()),
     };
     let result = runtime.block_on(async {
-        let stopping = CancellationToken::new();
-        tokio::spawn(savoryport::daemon::cancel_on_signal(stopping.clone()));
+        let cancel = CancellationToken::new();
+        tokio::spawn(savoryport::daemon::cancel_on_signal(cancel.clone()));
         tokio::spawn(savoryport::daemon::log_reload_requests());
-        node::run(checked.settings, stopping).await
+        node::run(checked.settings, cancel).await
     });
     savoryport::logging::flush();
     match result {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Returns the path of the settings file, or nothing if the arguments only ask for help or the
+/// Returns the path of the settings file, or `None` if the arguments only ask for help or the
 /// version.
 fn settings_path() -> Result<Option<PathBuf>, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
--- a/savoryport/src/cli/table.rs
+++ b/savoryport/src/cli/table.rs
@@ -20,11 +20,11 @@
 pub use super::arguments::Options;
 use crate::keys;
 
-/// The time after which `apply` stops sending a write again.
+/// The time after which `apply` stops retrying a write.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The delay before a write is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// The delay before a write is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Returns the table in force as CSV. If a path is given, writes the table to that file instead,
 /// and to a base file next to it that `apply` needs.
@@ -45,8 +45,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the file cannot be read, has invalid cells, all of which are listed, or does
-/// not fit into the fleet's memory.
+/// Returns an error if the file cannot be read, has invalid cells (the error lists all of them), or
+/// does not fit into the fleet's memory.
 pub fn check(options: &Options, path: &Path) -> Result<String, CliError> {
     let rows = read_file(path)?;
     if options.vm_list.is_some() {
@@ -94,7 +94,7 @@
                 write_base(path, &new_table)?;
                 return Ok(format!("accepted as version {}", new_table.version));
             }
-            // Another operator wrote first: starts again from the table that is now in force.
+            // Another operator wrote first; retry from the table that is now in force.
             PutOutcome::Conflict => {}
         }
     }
@@ -106,7 +106,7 @@
     Conflict,
 }
 
-/// Writes the table, again and again until the outcome is known or the deadline has passed.
+/// Writes the table, and retries until the outcome is known or the deadline has passed.
 fn put_table(
     kv: &EtcdClient,
     value: &[u8],
@@ -128,12 +128,12 @@
             Err(KvError::NotReachable { .. } | KvError::Refused(_)) => {}
             Err(KvError::Unanswered(_) | KvError::Malformed(_)) => was_unanswered = true,
         }
-        std::thread::sleep(RETRY_PAUSE);
+        std::thread::sleep(RETRY_DELAY);
     }
 }
 
-/// Returns the outcome of a write that met a conflict after an earlier attempt got no response.
-/// That attempt may itself have caused the conflict.
+/// Returns the outcome of a write that failed with a conflict after an earlier attempt got no
+/// response. That attempt may itself have caused the conflict.
 fn outcome_after_conflict(kv: &EtcdClient, new_table: &Table) -> Result<PutOutcome, CliError> {
     let (current, _) = read_table(kv)?;
     if current.change_id == new_table.change_id {
--- a/savoryport/src/daemon.rs
+++ b/savoryport/src/daemon.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns the path of the settings file, or nothing if the arguments only ask for help or the
+/// Returns the path of the settings file, or `None` if the arguments only ask for help or the
 /// version.
 fn parse_arguments(program: &str) -> Result<Option<PathBuf>, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
--- a/savoryport/src/logging.rs
+++ b/savoryport/src/logging.rs
@@ -98,7 +98,7 @@
 /// Limits the number of lines per second with the same message.
 #[derive(Default)]
 struct LineRateLimiter {
-    /// The second that the lines are counted in, since the Unix epoch.
+    /// The second in which lines are being counted, since the Unix epoch.
     second: u64,
     /// The number of lines in that second, by message.
     counts: HashMap<String, u32>,
--- a/savoryport/src/metrics.rs
+++ b/savoryport/src/metrics.rs
@@ -19,7 +19,7 @@
 
 use crate::rpc::{EntryStatus, RankCounts};
 
-/// The interval at which the HTTP server checks whether it is to stop.
+/// The interval at which the HTTP server checks for cancellation.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The outcome label of a first token that is sent by the request's deadline.
@@ -237,7 +237,7 @@
 
 /// Serves `/metrics`, `/healthz` and `/status` over HTTP until the token is cancelled.
 ///
-/// These pages are for operators and are served on loopback or the control address. Callers cannot
+/// These endpoints are for operators and listen on loopback or the control address. Callers cannot
 /// reach them, so a simple server without read timeouts is sufficient.
 ///
 /// # Errors
@@ -257,7 +257,7 @@
     std::thread::spawn(move || {
         while !cancel.is_cancelled() {
             let Ok(Some(req)) = server.recv_timeout(STOP_POLL_INTERVAL) else { continue };
-            let (code, content_type, body) = page(req.url(), &registry, &status);
+            let (code, content_type, body) = response_for(req.url(), &registry, &status);
             let header =
                 Header::from_bytes("content-type", content_type).expect("content types are ASCII");
             let response = Response::from_string(body).with_status_code(code).with_header(header);
@@ -268,7 +268,7 @@
 }
 
 /// Returns the status code, content type and body for a request path.
-fn page(
+fn response_for(
     path: &str,
     registry: &Registry,
     status: &impl Fn() -> serde_json::Value,
--- a/savoryport/src/rpc.rs
+++ b/savoryport/src/rpc.rs
@@ -16,14 +16,14 @@
 /// Timeout for connecting to a control process.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request for news from the control process that the sender follows.
+/// A request for state changes from the control process that the sender follows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PullRequest {
     /// The VM of the sender.
     pub vm: Name,
     /// The versions that the sender has.
     pub have: Versions,
-    /// The maximum time to wait for news, in milliseconds.
+    /// The maximum time to wait for a change, in milliseconds.
     pub wait_ms: u64,
     /// The demand for each model in slots (the mean number of requests in progress, including
     /// refused ones), as observed by the sender and the processes that follow it; `None` if no
@@ -73,7 +73,8 @@
 /// The RPC service of a control process.
 #[tarpc::service]
 pub trait ControlService {
-    /// Waits for news and returns the state that the caller lacks, which is empty after a timeout.
+    /// Waits for a change and returns the state that the caller lacks, which is empty after a
+    /// timeout.
     async fn pull(req: PullRequest) -> Update;
     /// Returns the status of the VM.
     async fn status() -> VmStatus;
@@ -125,7 +126,8 @@
         Ok(Self { address: address.to_owned(), client })
     }
 
-    /// Waits for news, at most for the time in the request.
+    /// Waits for a change, at most for the time in the request, and returns the state that the
+    /// sender lacks.
     ///
     /// # Errors
     ///
--- a/savoryport/src/settings.rs
+++ b/savoryport/src/settings.rs
@@ -39,7 +39,7 @@
     pub vm_list: String,
     /// The IP addresses and ports of other control processes, which are tried in this order: by the
     /// control process while the platform is unreachable, and by the entry while its own control
-    /// process is. Default none.
+    /// process is unreachable. Default none.
     pub peers: Vec<String>,
     /// The callers and their keys. If there are none, every caller is served. Default none.
     pub callers: Vec<CallerSettings>,
@@ -200,8 +200,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the file cannot be read, is not a JSON object, or has invalid fields,
-    /// all of which are listed.
+    /// Returns an error if the file cannot be read, is not a JSON object, or has invalid fields. The
+    /// error lists all invalid fields.
     pub fn read(path: &Path) -> Result<CheckedSettings, SettingsError> {
         let text = fs::read_to_string(path)
             .map_err(|err| SettingsError::NotReadable { path: path.to_owned(), err })?;
@@ -212,8 +212,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the text is not a JSON object or has invalid fields, all of which are
-    /// listed.
+    /// Returns an error if the text is not a JSON object or has invalid fields. The error lists all
+    /// invalid fields.
     pub fn parse(text: &str) -> Result<CheckedSettings, SettingsError> {
         let file_fields: Map<String, Value> =
             serde_json::from_str(text).map_err(|err| SettingsError::NotJson(err.to_string()))?;
