--- a/savoryport/src/keys.rs
+++ b/savoryport/src/keys.rs
@@ -33,7 +33,7 @@
     format!("{SERVERS}{name}")
 }
 
-/// Returns the name of the mark whose value is the holder of a group's lease.
+/// Returns the name of the mark whose value identifies the holder of a group's lease.
 pub fn lease_mark(group: &str) -> String {
     format!("lease/{group}")
 }
