--- a/savoryport/tests/settings.rs
+++ b/savoryport/tests/settings.rs
@@ -68,14 +68,14 @@
 
 proptest::proptest! {
     #[test]
-    fn parsing_does_not_panic_on_any_text(text in ".{0,200}") {
+    fn any_text_is_read_or_refused(text in ".{0,200}") {
         let _ = Settings::parse(&text);
     }
 
     /// Objects with known fields and arbitrary values get past the JSON parser to the checks of
     /// types and values.
     #[test]
-    fn parsing_does_not_panic_on_any_values(
+    fn any_values_are_read_or_refused(
         number: i64, text in ".{0,10}", field in 0..8_usize
     ) {
         let fields = ["vm", "peers", "callers", "shares_percent", "max_limit", "lease_ttl_ms",
